--- a/lib/tests/pace.rs
+++ b/lib/tests/pace.rs
@@ -1,5 +1,5 @@
-//! Servers of one service that are not equally fast: each gets what it can do
-//! in time.
+//! Servers of one service that are not equally fast: each should get as many
+//! requests as it can answer in time.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -26,14 +26,13 @@
 use rand::rngs::StdRng;
 
 const SLOTS: u32 = 6;
-/// Time of a request alone at a usual server, in ms, and what each other one
-/// there adds.
+/// Time of a request alone at a typical server, in ms, and the addition for each
+/// other request there.
 const ALONE_MS: f64 = 60.0;
 const EACH_MS: f64 = 8.0;
-/// Time for which a server's VM is disturbed by its neighbours, and how much
-/// longer work takes there then.
-const DISTURBED: Duration = Duration::from_millis(600);
-const DISTURBANCE: f64 = 2.5;
+/// How long a server's VM is slowed down by its neighbours, and by which factor.
+const INTERFERENCE_TIME: Duration = Duration::from_millis(600);
+const INTERFERENCE_FACTOR: f64 = 2.5;
 
 fn server(number: usize, centre: &str) -> Server {
     Server {
@@ -59,7 +58,7 @@
     fleet
 }
 
-/// Returns servers, one of each four in another data centre than the rest.
+/// Returns a fleet in which every fourth server is in another data centre.
 fn fleet_of_two_centres(count: usize) -> Fleet {
     let mut fleet = fleet(0, true);
     for number in 0..count {
@@ -69,20 +68,20 @@
     fleet
 }
 
-/// What the gateway is told of the moment.
+/// What servers report about their current pace.
 #[derive(Clone, Copy, PartialEq)]
-enum Told {
+enum Report {
     /// Nothing.
     Nothing,
-    /// How disturbed the VM is, with each answer.
-    Moment,
-    /// How long work takes there in all, before each choice.
-    Truth,
-    /// By server 0 always this pace, by the others nothing.
-    Lies(u32),
+    /// How much the VM is slowed down by its neighbours, with each answer.
+    Interference,
+    /// The true factor of the server, before each choice.
+    Actual,
+    /// The given pace, always, by server 0; nothing by the others.
+    Constant(u32),
 }
 
-/// A request under way.
+/// A request in flight.
 struct Running {
     gateway: usize,
     key: ServerKey,
@@ -92,15 +91,15 @@
     wait: Option<WaitKey>,
 }
 
-/// Servers that take as long as `factor` says, and gateways that send them
-/// requests.
-struct World<F> {
-    /// What each gateway knows.
+/// A simulation of gateways and of servers that take `factor` times as long as
+/// usual.
+struct Simulation<F> {
+    /// The state of each gateway.
     fleets: Vec<Fleet>,
     factor: F,
-    told: Told,
-    disturbed: bool,
-    /// Least and most that an answer takes beside what it should.
+    reports: Report,
+    has_interference: bool,
+    /// Range of the random factor on the time of an answer.
     noise: Range<f64>,
     rng: StdRng,
     now: Time,
@@ -110,13 +109,13 @@
     changes: Vec<PaceChange>,
 }
 
-impl<F: Fn(usize, Time) -> f64> World<F> {
-    fn new(seed: u64, fleets: Vec<Fleet>, told: Told, factor: F) -> Self {
+impl<F: Fn(usize, Time) -> f64> Simulation<F> {
+    fn new(seed: u64, fleets: Vec<Fleet>, reports: Report, factor: F) -> Self {
         Self {
             fleets,
             factor,
-            told,
-            disturbed: false,
+            reports,
+            has_interference: false,
             noise: 0.8..1.25,
             rng: StdRng::seed_from_u64(seed),
             now: Time::default(),
@@ -128,25 +127,25 @@
     }
 
     fn number(&self, key: ServerKey) -> usize {
-        let server = self.fleets[0].server(key).expect("it is known");
+        let server = self.fleets[0].server(key).expect("known server");
         usize::from(server.address.port() - 8_000)
     }
 
-    /// Returns how much longer work takes on a VM for its neighbours: 15 in 100
-    /// of the VMs at a time.
-    fn disturbance(&self, number: usize) -> f64 {
-        let slice = self.now.since(Time::default()).as_millis() / DISTURBED.as_millis();
+    /// Returns the factor by which a VM is slowed down by its neighbours; 15 in
+    /// 100 of the VMs are at any time.
+    fn interference(&self, number: usize) -> f64 {
+        let slice = self.now.since(Time::default()).as_millis() / INTERFERENCE_TIME.as_millis();
         let mut draw = StdRng::seed_from_u64(number as u64 * 1_000 + slice as u64);
-        let hit = self.disturbed && draw.random_bool(0.15);
-        if hit { DISTURBANCE } else { 1.0 }
+        let hit = self.has_interference && draw.random_bool(0.15);
+        if hit { INTERFERENCE_FACTOR } else { 1.0 }
     }
 
-    fn told(&self, number: usize) -> Option<u32> {
-        let factor = match self.told {
-            Told::Nothing => return None,
-            Told::Lies(pace) => return (number == 0).then_some(pace),
-            Told::Moment => self.disturbance(number),
-            Told::Truth => self.disturbance(number) * (self.factor)(number, self.now),
+    fn reported_pace(&self, number: usize) -> Option<u32> {
+        let factor = match self.reports {
+            Report::Nothing => return None,
+            Report::Constant(pace) => return (number == 0).then_some(pace),
+            Report::Interference => self.interference(number),
+            Report::Actual => self.interference(number) * (self.factor)(number, self.now),
         };
         Some((factor * 100.0).round() as u32)
     }
@@ -157,7 +156,7 @@
             running: running as u32,
             waiting: 0,
             slots: SLOTS,
-            pace: self.told(self.number(key)),
+            pace: self.reported_pace(self.number(key)),
         };
         self.fleets[gateway].report(self.now, key, load);
     }
@@ -184,10 +183,10 @@
 
     fn send(&mut self) {
         let gateway = self.rng.random_range(0..self.fleets.len());
-        if self.told == Told::Truth {
+        if self.reports == Report::Actual {
             for number in 0..self.fleets[gateway].ready("tool") {
                 let key = self.fleets[gateway].key(&format!("server-{number}"));
-                self.report(gateway, key.expect("it is known"));
+                self.report(gateway, key.expect("known server"));
             }
         }
         let wish = Wish {
@@ -202,7 +201,7 @@
         let usual = ALONE_MS + EACH_MS * there as f64 + ALONE_MS * queued(there);
         let Range { start, end } = self.noise;
         let noise = self.rng.random_range(start.ln()..end.ln()).exp();
-        let factor = (self.factor)(number, self.now) * self.disturbance(number);
+        let factor = (self.factor)(number, self.now) * self.interference(number);
         let took = Duration::from_secs_f64(usual * noise * factor / 1_000.0);
         let fleet = &mut self.fleets[gateway];
         let work = fleet.begin(self.now, key, &wish);
@@ -218,8 +217,8 @@
         *self.counts.entry(number).or_default() += 1;
     }
 
-    /// Sends a request each `gap` for so long, and returns how many each server
-    /// got.
+    /// Sends a request every `gap` for the time `span`, and returns the number at
+    /// each server.
     fn run(&mut self, span: Duration, gap: Duration) -> HashMap<usize, usize> {
         self.counts.clear();
         let end = self.now + span;
@@ -231,7 +230,7 @@
         self.counts.clone()
     }
 
-    /// Lets what is under way end for so long.
+    /// Sends nothing for the time `span`, so that running requests can end.
     fn rest(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -240,16 +239,15 @@
         }
     }
 
-    /// Returns which servers were noted, and whether as slow.
-    fn noted(&self) -> Vec<(&str, bool)> {
+    /// Returns the changes so far: the server, and whether it became slow.
+    fn slow_changes(&self) -> Vec<(&str, bool)> {
         let changes = self.changes.iter();
         changes
             .map(|change| (&*change.server, change.slow))
             .collect()
     }
 
-    /// Returns the time that so many of a hundred answers since the last call did
-    /// not exceed.
+    /// Returns the given percentile of the response times since the last call.
     fn slowest(&mut self, percent: usize) -> Duration {
         let mut times = std::mem::take(&mut self.times);
         times.sort_unstable();
@@ -257,12 +255,13 @@
     }
 }
 
-/// Returns how many requests wait before one that meets so many.
+/// Returns how many requests per slot are queued at a server with that many
+/// requests.
 fn queued(there: usize) -> f64 {
     (there as f64 + 1.0 - f64::from(SLOTS)).max(0.0) / f64::from(SLOTS)
 }
 
-/// Returns what a server got, as a share of the mean.
+/// Returns the requests of a server as a share of the mean.
 fn share(counts: &HashMap<usize, usize>, number: usize, servers: usize) -> f64 {
     let all: usize = counts.values().sum();
     let own = counts.get(&number).copied().unwrap_or_default();
@@ -270,8 +269,8 @@
 }
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Time between requests: a light load of four servers, and nine tenths of what
-/// three of them can do.
+/// Time between requests: a light load for four servers, and nine tenths of the
+/// capacity of three of them.
 const GAPS: [Duration; 2] = [Duration::from_millis(12), Duration::from_millis(6)];
 const GAP: Duration = GAPS[0];
 const SEEDS: Range<u64> = 0..5;
@@ -279,25 +278,25 @@
 /// Speeds of the servers in four data centres, or of four servers in one.
 const SPEEDS: [f64; 4] = [0.55, 1.2, 1.2, 1.2];
 
-/// Returns what four gateways know of so many servers.
+/// Returns the state of four gateways, each with the given number of servers.
 fn gateways(servers: usize, pace: bool) -> Vec<Fleet> {
     (0..4).map(|_| fleet(servers, pace)).collect()
 }
 
 #[test]
-fn uneven_servers_on_disturbed_vms_are_used_as_if_the_truth_were_told() {
+fn uneven_servers_on_shared_vms_are_used_almost_as_well_as_if_their_pace_were_known() {
     for (seed, gap) in SEEDS.flat_map(|seed| GAPS.map(|gap| (seed, gap / 2))) {
-        let slowest = |told| {
+        let slowest = |reports| {
             let factor = |number: usize, _| 1.0 / SPEEDS[number % 4];
-            let mut world = World::new(seed, gateways(8, true), told, factor);
-            world.disturbed = true;
-            world.run(4 * SECOND, gap);
-            world.slowest(90);
-            world.run(20 * SECOND, gap);
-            world.slowest(90)
+            let mut simulation = Simulation::new(seed, gateways(8, true), reports, factor);
+            simulation.has_interference = true;
+            simulation.run(4 * SECOND, gap);
+            simulation.slowest(90);
+            simulation.run(20 * SECOND, gap);
+            simulation.slowest(90)
         };
 
-        let (learned, truth) = (slowest(Told::Moment), slowest(Told::Truth));
+        let (learned, truth) = (slowest(Report::Interference), slowest(Report::Actual));
 
         assert!(
             learned <= truth.mul_f64(1.3),
@@ -306,115 +305,128 @@
     }
 }
 
-/// Server 0 takes five times as long from the fourth second to the eighth.
+/// Server 0 takes five times as long from the fourth to the eighth second.
 fn slow_for_a_while(number: usize, now: Time) -> f64 {
-    let ill = (4.0..8.0).contains(&now.as_secs_f64());
-    if number == 0 && ill { 5.0 } else { 1.0 }
+    let slow = (4.0..8.0).contains(&now.as_secs_f64());
+    if number == 0 && slow { 5.0 } else { 1.0 }
 }
 
 #[test]
-fn a_server_that_turns_slow_and_says_nothing_gets_less_within_a_second() {
+fn a_server_that_becomes_slow_without_reporting_it_gets_less_work_within_a_second() {
     for (seed, gap) in SEEDS.flat_map(|seed| GAPS.map(|gap| (seed, gap))) {
-        let mut world = World::new(seed, gateways(4, true), Told::Nothing, slow_for_a_while);
-        world.run(4 * SECOND, gap);
+        let mut simulation =
+            Simulation::new(seed, gateways(4, true), Report::Nothing, slow_for_a_while);
+        simulation.run(4 * SECOND, gap);
 
-        world.run(SECOND, gap);
-        let slow = world.run(2 * SECOND, gap);
+        simulation.run(SECOND, gap);
+        let slow = simulation.run(2 * SECOND, gap);
 
         assert!(share(&slow, 0, 4) < 0.5, "{seed} {gap:?}: {slow:?}");
     }
 }
 
 #[test]
-fn callers_wait_less_for_a_server_that_turned_slow_than_where_its_pace_is_not_learned() {
+fn learning_paces_shortens_waits_while_a_server_is_slow() {
     for (seed, gap) in SEEDS.flat_map(|seed| GAPS.map(|gap| (seed, gap))) {
         let slowest = |pace| {
             let fleets = gateways(4, pace);
-            let mut world = World::new(seed, fleets, Told::Nothing, slow_for_a_while);
-            world.run(4 * SECOND, gap);
-            world.slowest(99);
-            world.run(6 * SECOND, gap);
-            world.slowest(99)
+            let mut simulation = Simulation::new(seed, fleets, Report::Nothing, slow_for_a_while);
+            simulation.run(4 * SECOND, gap);
+            simulation.slowest(99);
+            simulation.run(6 * SECOND, gap);
+            simulation.slowest(99)
         };
 
-        let (learned, unaware) = (slowest(true), slowest(false));
-        assert!(learned < unaware, "{seed} {gap:?}: {learned:?} {unaware:?}");
+        let (learned, unlearned) = (slowest(true), slowest(false));
+        assert!(
+            learned < unlearned,
+            "{seed} {gap:?}: {learned:?} {unlearned:?}"
+        );
     }
 }
 
-/// Its first answer is still under way.
+/// The server's first answer since then is still outstanding.
 #[test]
-fn a_server_that_turned_slow_is_avoided_before_it_answers() {
-    let mut world = World::new(1, vec![fleet(4, true)], Told::Nothing, |_, _| 1.0);
-    world.run(4 * SECOND, GAP);
-    world.rest(SECOND);
-    let stuck = world.fleets[0].key("server-0").expect("it is known");
-    let sent = world.now;
+fn a_server_that_became_slow_is_avoided_before_it_answers() {
+    let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, |_, _| 1.0);
+    simulation.run(4 * SECOND, GAP);
+    simulation.rest(SECOND);
+    let slow = simulation.fleets[0].key("server-0").expect("known server");
+    let sent = simulation.now;
     let wish = Wish::default();
     let others = ["server-1", "server-2", "server-3"];
-    let others = others.map(|id| world.fleets[0].key(id).expect("it is known"));
-    let fleet = &mut world.fleets[0];
-    let work = fleet.begin(sent, stuck, &wish);
-    fleet.begin_wait(sent, stuck, &work, Span::Whole);
+    let others = others.map(|id| simulation.fleets[0].key(id).expect("known server"));
+    let fleet = &mut simulation.fleets[0];
+    let work = fleet.begin(sent, slow, &wish);
+    fleet.begin_wait(sent, slow, &work, Span::Whole);
     let overdue = sent + Duration::from_millis(250);
 
-    let alone = fleet.pace_summary(overdue, "tool").expect("it is on");
+    let before_others = fleet.pace_summary(overdue, "tool").expect("paces count");
     let later = sent + Duration::from_millis(10);
     for key in others {
         let work = fleet.begin(later, key, &wish);
         let wait = fleet.begin_wait(later, key, &work, Span::Whole);
-        fleet.end_wait(key, wait.expect("it is on"));
+        fleet.end_wait(key, wait.expect("paces count"));
         fleet.end(later, key, Outcome::Answered);
     }
-    let overtaken = fleet.pace_summary(overdue, "tool").expect("it is on");
+    let after_others = fleet.pace_summary(overdue, "tool").expect("paces count");
 
-    // Before others answer, all of them may be slow.
-    assert_eq!(alone.slow, 0, "{alone:?}");
-    assert!(overtaken.slow == 1, "{overtaken:?}");
-    assert!(overtaken.largest > 2.0, "{overtaken:?}");
+    // Until other servers answer, all of them may be slow.
+    assert_eq!(before_others.slow, 0, "{before_others:?}");
+    assert!(after_others.slow == 1, "{after_others:?}");
+    assert!(after_others.largest > 2.0, "{after_others:?}");
 }
 
 #[test]
-fn a_server_that_recovers_gets_its_share_again() {
+fn a_recovered_server_gets_its_share_again() {
     for (seed, gap) in SEEDS.flat_map(|seed| GAPS.map(|gap| (seed, gap))) {
-        let mut world = World::new(seed, gateways(4, true), Told::Nothing, slow_for_a_while);
-        world.run(8 * SECOND, gap);
+        let mut simulation =
+            Simulation::new(seed, gateways(4, true), Report::Nothing, slow_for_a_while);
+        simulation.run(8 * SECOND, gap);
 
-        world.run(5 * SECOND, gap);
-        let after = world.run(4 * SECOND, gap);
+        simulation.run(5 * SECOND, gap);
+        let after = simulation.run(4 * SECOND, gap);
         assert!(share(&after, 0, 4) > 0.75, "{seed} {gap:?}: {after:?}");
     }
 }
 
 #[test]
-fn a_busy_server_that_turns_slow_and_recovers_is_noted() {
+fn a_busy_server_that_becomes_slow_and_recovers_is_reported_as_such() {
     for seed in SEEDS {
-        let mut world = World::new(seed, vec![fleet(4, true)], Told::Nothing, slow_for_a_while);
+        let mut simulation = Simulation::new(
+            seed,
+            vec![fleet(4, true)],
+            Report::Nothing,
+            slow_for_a_while,
+        );
 
-        world.run(16 * SECOND, GAPS[1]);
+        simulation.run(16 * SECOND, GAPS[1]);
 
-        let noted = world.noted();
-        assert_eq!(noted.first(), Some(&("server-0", true)), "{seed}");
-        assert_eq!(noted.last(), Some(&("server-0", false)), "{seed}");
-        assert!(noted.iter().all(|(id, _)| *id == "server-0"), "{noted:?}");
-        let slow = &world.changes[0];
+        let slow_changes = simulation.slow_changes();
+        assert_eq!(slow_changes.first(), Some(&("server-0", true)), "{seed}");
+        assert_eq!(slow_changes.last(), Some(&("server-0", false)), "{seed}");
+        assert!(
+            slow_changes.iter().all(|(id, _)| *id == "server-0"),
+            "{slow_changes:?}"
+        );
+        let slow = &simulation.changes[0];
         assert!(slow.factor > 2.0, "{slow:?}");
         assert!(slow.last.observed > slow.last.expected, "{slow:?}");
     }
 }
 
 #[test]
-fn a_burst_that_slows_all_servers_alike_makes_none_of_them_slow() {
+fn a_burst_that_slows_all_servers_equally_marks_none_as_slow() {
     for (seed, gap) in SEEDS.flat_map(|seed| GAPS.map(|gap| (seed, gap))) {
         let all_slow = |_, now: Time| if now.as_secs_f64() < 4.0 { 1.0 } else { 4.0 };
-        let mut world = World::new(seed, vec![fleet(6, true)], Told::Nothing, all_slow);
-        world.run(4 * SECOND, gap);
+        let mut simulation = Simulation::new(seed, vec![fleet(6, true)], Report::Nothing, all_slow);
+        simulation.run(4 * SECOND, gap);
 
-        let counts = world.run(4 * SECOND, gap * 2);
+        let counts = simulation.run(4 * SECOND, gap * 2);
         assert!(
-            world.noted().is_empty(),
+            simulation.slow_changes().is_empty(),
             "{seed} {gap:?}: {:?}",
-            world.changes
+            simulation.changes
         );
         let (least, most) = (counts.values().min(), counts.values().max());
         assert!(most.unwrap() < &(least.unwrap() * 2), "{counts:?}");
@@ -422,38 +434,39 @@
 }
 
 #[test]
-fn a_server_that_says_it_is_fast_beyond_belief_does_not_get_all_the_work() {
+fn a_server_that_reports_an_implausible_pace_does_not_get_all_the_work() {
     for pace in [1, 10_000, u32::MAX] {
-        let mut world = World::new(1, vec![fleet(4, true)], Told::Lies(pace), |_, _| 1.0);
+        let mut simulation =
+            Simulation::new(1, vec![fleet(4, true)], Report::Constant(pace), |_, _| 1.0);
 
-        let counts = world.run(4 * SECOND, GAP);
+        let counts = simulation.run(4 * SECOND, GAP);
         let mut others = (1..4).map(|number| share(&counts, number, 4));
         assert!(others.all(|share| share > 0.5), "{pace}: {counts:?}");
     }
 }
 
 #[test]
-fn a_full_server_that_says_it_is_fast_gets_no_more() {
-    let mut world = World::new(1, vec![fleet(4, true)], Told::Lies(1), |_, _| 1.0);
-    let full = world.fleets[0].key("server-0").expect("it is known");
+fn a_full_server_that_reports_to_be_fast_gets_no_more_work() {
+    let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Constant(1), |_, _| 1.0);
+    let full = simulation.fleets[0].key("server-0").expect("known server");
     let load = Load {
         running: 4 * SLOTS,
         waiting: 0,
         slots: SLOTS,
         pace: Some(1),
     };
-    world.fleets[0].report(world.now, full, load);
+    simulation.fleets[0].report(simulation.now, full, load);
 
     for _ in 0..12 {
-        world.send();
+        simulation.send();
     }
-    assert_eq!(world.counts.get(&0), None, "{:?}", world.counts);
+    assert_eq!(simulation.counts.get(&0), None, "{:?}", simulation.counts);
 }
 
 #[test]
-fn what_servers_say_of_the_moment_is_followed_and_soon_forgotten() {
+fn reported_paces_take_effect_at_once_and_soon_expire() {
     let mut fleet = fleet(2, true);
-    let key = fleet.key("server-0").expect("it is known");
+    let key = fleet.key("server-0").expect("known server");
     let load = Load {
         slots: SLOTS,
         pace: Some(250),
@@ -470,42 +483,42 @@
     fleet.report(Time::default(), key, load);
 
     let at_once = pick(&fleet, 10);
-    let other = fleet.key("server-1").expect("it is known");
+    let other = fleet.key("server-1").expect("known server");
     fleet.begin(Time::from_millis(10), other, &Wish::default());
     let later = pick(&fleet, 2_000);
 
     assert_eq!((at_once, later), (Some(other), Some(key)));
 }
 
-/// Where a gateway sends each server a request every ten seconds, only what the
-/// servers of a data centre have in common can be learned in time.
+/// If a gateway sends each server a request only every ten seconds, it can learn
+/// in time only what the servers of a data centre have in common.
 #[test]
-fn a_slow_data_centre_is_found_where_a_gateway_seldom_meets_the_same_server() {
+fn a_slow_data_centre_is_detected_although_a_gateway_rarely_uses_the_same_server_twice() {
     let (mut slow, mut all) = (0, 0);
     for seed in SEEDS {
         let factor = |number: usize, _| 1.0 / SPEEDS[number % 4];
         let fleet = fleet_of_two_centres(80);
-        let mut world = World::new(seed, vec![fleet], Told::Nothing, factor);
-        world.run(20 * SECOND, SECOND / 8);
+        let mut simulation = Simulation::new(seed, vec![fleet], Report::Nothing, factor);
+        simulation.run(20 * SECOND, SECOND / 8);
 
-        for (number, count) in world.run(60 * SECOND, SECOND / 8) {
+        for (number, count) in simulation.run(60 * SECOND, SECOND / 8) {
             slow += if number % 4 == 0 { count } else { 0 };
             all += count;
         }
     }
 
-    // A quarter of the servers are there.
+    // A quarter of the servers are in the slow data centre.
     assert!(slow * 2 < all / 4, "{slow} of {all}");
 }
 
 #[test]
-fn a_server_never_met_is_taken_for_as_fast_as_those_of_its_data_centre() {
+fn an_unused_server_is_assumed_to_be_as_fast_as_others_of_its_data_centre() {
     let factor = |number: usize, _| 1.0 / SPEEDS[number % 4];
     let fleet = fleet_of_two_centres(8);
-    let mut world = World::new(1, vec![fleet], Told::Nothing, factor);
-    world.run(4 * SECOND, GAPS[1]);
+    let mut simulation = Simulation::new(1, vec![fleet], Report::Nothing, factor);
+    simulation.run(4 * SECOND, GAPS[1]);
     let known = 0..8;
-    let fleet = &mut world.fleets[0];
+    let fleet = &mut simulation.fleets[0];
     let known = known.filter_map(|number| fleet.key(&format!("server-{number}")));
     let known: Vec<ServerKey> = known.collect();
     fleet.put(server(8, "one"));
@@ -518,14 +531,14 @@
             draw,
             ..Wish::default()
         };
-        fleet.pick(world.now, "tool", &wish)
+        fleet.pick(simulation.now, "tool", &wish)
     });
 
     assert_eq!(picked, [fleet.key("server-9"); 3]);
 }
 
-/// Sends streams to two servers in turn, and returns the fleet and the time;
-/// `factor` is that of the first one.
+/// Sends streams to two servers in turn; the first one is slower by `factor`.
+/// Returns the fleet and the time at the end.
 fn serve_streams(factor: f64) -> (Fleet, Time) {
     let mut fleet = fleet(2, true);
     let mut now = Time::default();
@@ -540,7 +553,7 @@
     };
     for number in 0..200_u32 {
         let id = format!("server-{}", number % 2);
-        let key = fleet.key(&id).expect("it is known");
+        let key = fleet.key(&id).expect("known server");
         let factor = if number % 2 == 0 { factor } else { 1.0 };
         let work = fleet.begin(now, key, &wish);
         let wait = fleet.begin_wait(now, key, &work, Span::FirstEvent);
@@ -559,121 +572,125 @@
 }
 
 #[test]
-fn an_engine_that_streams_more_slowly_than_its_peer_is_found() {
+fn an_engine_that_streams_more_slowly_than_its_peer_is_detected() {
     let (alike, now) = serve_streams(1.0);
     let (uneven, later) = serve_streams(4.0);
 
-    let alike = alike.pace_summary(now, "tool").expect("it is on");
-    let uneven = uneven.pace_summary(later, "tool").expect("it is on");
+    let alike = alike.pace_summary(now, "tool").expect("paces count");
+    let uneven = uneven.pace_summary(later, "tool").expect("paces count");
     assert!(alike.slow == 0 && alike.largest < 1.1, "{alike:?}");
     assert!(uneven.slow == 1 && uneven.largest > 1.5, "{uneven:?}");
 }
 
 #[test]
-fn what_a_server_said_earlier_does_not_replace_what_it_said_last() {
+fn an_earlier_report_does_not_replace_a_later_one() {
     let mut pace = Pace::default();
     let now = Time::from_millis(100);
 
-    pace.tell(now, Some(250));
-    pace.tell(Time::from_millis(50), Some(100));
-    pace.tell(now, None);
+    pace.set_reported(now, Some(250));
+    pace.set_reported(Time::from_millis(50), Some(100));
+    pace.set_reported(now, None);
 
-    assert!((pace.moment(now) - 2.5).abs() < 1e-9, "{pace:?}");
+    assert!((pace.reported_factor(now) - 2.5).abs() < 1e-9, "{pace:?}");
 }
 
 #[test]
-fn a_server_that_starts_again_is_as_fast_as_its_peers_until_it_answers() {
+fn a_restarted_server_is_assumed_to_be_as_fast_as_its_peers_until_it_answers() {
     let slow = |number: usize, _| if number == 0 { 5.0 } else { 1.0 };
-    let mut world = World::new(1, vec![fleet(4, true)], Told::Nothing, slow);
-    world.run(2 * SECOND, GAP);
-    let before = world.fleets[0]
-        .pace_summary(world.now, "tool")
-        .expect("it is on");
+    let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, slow);
+    simulation.run(2 * SECOND, GAP);
+    let before = simulation.fleets[0]
+        .pace_summary(simulation.now, "tool")
+        .expect("paces count");
 
-    world.fleets[0].put(Server {
+    simulation.fleets[0].put(Server {
         born: Some(2),
         ..server(0, "here")
     });
 
-    let after = world.fleets[0]
-        .pace_summary(world.now, "tool")
-        .expect("it is on");
+    let after = simulation.fleets[0]
+        .pace_summary(simulation.now, "tool")
+        .expect("paces count");
     assert!(before.slow == 1 && before.largest > 1.5, "{before:?}");
     assert!(after.slow == 0 && after.largest < 1.5, "{after:?}");
 }
 
 #[test]
-fn a_request_that_never_ends_among_others_that_do_makes_no_server_slow() {
-    let mut world = World::new(1, vec![fleet(4, true)], Told::Nothing, |_, _| 1.0);
-    world.run(2 * SECOND, GAP);
-    let key = world.fleets[0].key("server-0").expect("it is known");
+fn a_single_hung_request_marks_no_server_as_slow() {
+    let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, |_, _| 1.0);
+    simulation.run(2 * SECOND, GAP);
+    let key = simulation.fleets[0].key("server-0").expect("known server");
     let wish = Wish::default();
-    let work = world.fleets[0].begin(world.now, key, &wish);
-    let wait = world.fleets[0].begin_wait(world.now, key, &work, Span::Whole);
+    let work = simulation.fleets[0].begin(simulation.now, key, &wish);
+    let wait = simulation.fleets[0].begin_wait(simulation.now, key, &work, Span::Whole);
     assert!(wait.is_some());
 
-    let counts = world.run(4 * SECOND, GAPS[1]);
+    let counts = simulation.run(4 * SECOND, GAPS[1]);
     assert!(share(&counts, 0, 4) > 0.5, "{counts:?}");
 }
 
-/// What a request finds in an engine's memory is a guess, so that some answers
-/// take a small part of what they should and others several times as long.
+/// How much of a prompt an engine has cached is an estimate, so some answers take
+/// a small part of the expected time and others several times as long.
 #[test]
-fn answers_that_scatter_tell_no_servers_apart() {
+fn widely_varying_answer_times_mark_no_server_as_slow() {
     let slowest = |pace| {
         let all = SEEDS.flat_map(|seed| {
-            let mut world = World::new(seed, gateways(4, pace), Told::Nothing, |_, _| 1.0);
-            world.noise = 0.02..5.0;
-            world.run(4 * SECOND, GAPS[1]);
-            world.times.clear();
-            world.run(8 * SECOND, GAPS[1]);
-            world.times
+            let mut simulation =
+                Simulation::new(seed, gateways(4, pace), Report::Nothing, |_, _| 1.0);
+            simulation.noise = 0.02..5.0;
+            simulation.run(4 * SECOND, GAPS[1]);
+            simulation.times.clear();
+            simulation.run(8 * SECOND, GAPS[1]);
+            simulation.times
         });
         let mut all: Vec<Duration> = all.collect();
         all.sort_unstable();
         all[all.len() * 9 / 10]
     };
 
-    let (learned, unaware) = (slowest(true), slowest(false));
+    let (learned, unlearned) = (slowest(true), slowest(false));
 
-    assert!(learned <= unaware.mul_f64(1.1), "{learned:?} {unaware:?}");
+    assert!(
+        learned <= unlearned.mul_f64(1.1),
+        "{learned:?} {unlearned:?}"
+    );
 }
 
 #[test]
-fn requests_that_end_without_an_answer_tell_that_a_server_is_slow() {
-    let mut world = World::new(1, vec![fleet(4, true)], Told::Nothing, |_, _| 1.0);
-    world.run(2 * SECOND, GAP);
-    let key = world.fleets[0].key("server-0").expect("it is known");
+fn requests_that_end_without_an_answer_mark_a_server_as_slow() {
+    let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, |_, _| 1.0);
+    simulation.run(2 * SECOND, GAP);
+    let key = simulation.fleets[0].key("server-0").expect("known server");
     let wish = Wish::default();
 
     for _ in 0..3 {
-        let work = world.fleets[0].begin(world.now, key, &wish);
-        let wait = world.fleets[0].begin_wait(world.now, key, &work, Span::Whole);
-        let end = world.now + SECOND;
-        world.fleets[0].give_up(end, key, wait.expect("it is on"));
-        world.fleets[0].end(end, key, Outcome::Abandoned);
+        let work = simulation.fleets[0].begin(simulation.now, key, &wish);
+        let wait = simulation.fleets[0].begin_wait(simulation.now, key, &work, Span::Whole);
+        let end = simulation.now + SECOND;
+        simulation.fleets[0].give_up(end, key, wait.expect("paces count"));
+        simulation.fleets[0].end(end, key, Outcome::Abandoned);
     }
 
-    let later = world.now + SECOND;
-    let summary = world.fleets[0]
+    let later = simulation.now + SECOND;
+    let summary = simulation.fleets[0]
         .pace_summary(later, "tool")
-        .expect("it is on");
+        .expect("paces count");
     assert!(summary.slow == 1 && summary.largest > 2.0, "{summary:?}");
 }
 
 #[test]
-fn nothing_depends_on_the_pace_of_servers_unless_it_is_switched_on() {
-    let counts = |told| {
-        let mut world = World::new(1, vec![fleet(4, false)], told, slow_for_a_while);
-        world.disturbed = true;
-        world.run(7 * SECOND, GAP)
+fn paces_have_no_effect_unless_switched_on() {
+    let counts = |reports| {
+        let mut simulation = Simulation::new(1, vec![fleet(4, false)], reports, slow_for_a_while);
+        simulation.has_interference = true;
+        simulation.run(7 * SECOND, GAP)
     };
 
-    let (with, without) = (counts(Told::Moment), counts(Told::Nothing));
+    let (with, without) = (counts(Report::Interference), counts(Report::Nothing));
 
     assert_eq!(with, without);
     let mut fleet = fleet(1, false);
-    let key = fleet.key("server-0").expect("it is known");
+    let key = fleet.key("server-0").expect("known server");
     let work = fleet.begin(Time::default(), key, &Wish::default());
     assert_eq!(
         fleet.begin_wait(Time::default(), key, &work, Span::Whole),
@@ -683,28 +700,28 @@
     assert!(fleet.pace_changes().is_empty());
 }
 
-/// Servers that have their VMs to themselves differ by little: there what counts
-/// is where prompts are kept.
+/// Servers that do not share their VMs differ little; there the choice should
+/// depend on where prompts are cached.
 #[test]
-fn paces_count_only_at_services_whose_servers_say_that_they_are_disturbed() {
-    let slowest = |told| {
+fn with_shared_vms_paces_count_only_if_servers_report_interference() {
+    let summary = |reported| {
         let mut fleet = fleet(2, true);
         fleet.set_switches(Switches {
             pace: true,
             shared_vms: true,
             ..Switches::default()
         });
-        let key = fleet.key("server-0").expect("it is there");
+        let key = fleet.key("server-0").expect("known server");
         let load = Load {
             slots: 16,
-            pace: told,
+            pace: reported,
             ..Load::default()
         };
         fleet.report(Time::default(), key, load);
         fleet.pace_summary(Time::default(), "tool")
     };
 
-    assert_eq!(slowest(None), None);
-    assert_eq!(slowest(Some(100)), None);
-    assert!(slowest(Some(250)).is_some());
+    assert_eq!(summary(None), None);
+    assert_eq!(summary(Some(100)), None);
+    assert!(summary(Some(250)).is_some());
 }
--- a/lib/tests/service_time.rs
+++ b/lib/tests/service_time.rs
@@ -1,12 +1,12 @@
-//! What is learned of servers from their answers, for engines of any speed.
+//! Estimates of service times learned from answers, for engines of any speed.
 
 use std::time::Duration;
 
 use limpetferry_lib::service_time::ServiceTime;
 use limpetferry_lib::service_time::Work;
 
-/// An engine that reads `per_ms` prompt tokens in a ms, between the tokens of
-/// what else runs there.
+/// An engine that prefills `per_ms` prompt tokens in a ms, interleaved with the
+/// decoding of other requests.
 #[derive(Clone, Copy)]
 struct Engine {
     per_ms: f64,
@@ -34,8 +34,8 @@
     }
 }
 
-/// Lets requests with little and much to read run, some of them much longer
-/// than they should.
+/// Learns from requests with small and large prompts, one in twenty of which
+/// takes much longer than it should.
 fn serve(times: &mut ServiceTime, engine: Engine, count: u64) {
     for number in 0..count {
         let work = work(number * 977 % 6_000, (number * 7 % 24) as f64);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_reading_of_engines_of_any_speed_is_learned_from_their_answers() {
+fn prefill_times_of_engines_of_any_speed_are_learned_from_their_answers() {
     for per_ms in [3.0, 30.0, 300.0] {
         let engine = Engine {
             per_ms,
@@ -60,13 +60,13 @@
 
         serve(&mut times, engine, 400);
 
-        let read = times.read(3_000);
+        let read = times.prefill_ms(3_000);
         assert!(is_near(read, 3_000.0 / per_ms), "{per_ms}: {times}");
     }
 }
 
 #[test]
-fn an_engine_that_slows_down_and_recovers_is_followed() {
+fn estimates_follow_an_engine_that_slows_down_and_recovers() {
     let fast = Engine {
         per_ms: 100.0,
         event_ms: 5.0,
@@ -79,16 +79,16 @@
 
     serve(&mut times, fast, 400);
     serve(&mut times, slow, 1_000);
-    let while_slow = times.read(3_000);
+    let while_slow = times.prefill_ms(3_000);
     serve(&mut times, fast, 1_000);
-    let after = times.read(3_000);
+    let after = times.prefill_ms(3_000);
 
     assert!(is_near(while_slow, 120.0), "{while_slow}");
     assert!(is_near(after, 30.0), "{after}");
 }
 
 #[test]
-fn more_load_and_more_to_read_cost_more_before_anything_is_known() {
+fn initial_costs_grow_with_the_load_and_the_tokens_to_prefill() {
     let times = ServiceTime::default();
 
     let idle = times.stream_cost(&work(0, 0.0));
@@ -101,8 +101,8 @@
 }
 
 #[test]
-fn answers_that_say_nothing_of_load_leave_it_a_price() {
-    // All requests met the same load, so that its slope cannot be learned.
+fn load_has_a_cost_although_answers_show_no_effect_of_it() {
+    // All requests met the same load, so its slope cannot be learned.
     let engine = Engine {
         per_ms: 30.0,
         event_ms: 10.0,
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_plain_service_is_learned_too() {
+fn times_of_plain_requests_are_learned() {
     let mut times = ServiceTime::default();
     for number in 0..400_u64 {
         let work = Work {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_stream_takes_longer_the_fuller_its_server_is_up_to_its_slots() {
+fn slowdown_of_streams_grows_with_the_load_up_to_the_slots() {
     let times = ServiceTime::default();
 
     let idle = times.slowdown(0.0, 12.0);
@@ -152,5 +152,5 @@
 
     assert_eq!(idle, Duration::ZERO);
     assert!(half > idle && full > half);
-    assert_eq!(beyond, full, "the wait for a slot is not part of it");
+    assert_eq!(beyond, full, "the wait for a slot must not be included");
 }
