--- a/lib/src/candidate.rs
+++ b/lib/src/candidate.rs
@@ -226,8 +226,8 @@
         work
     }
 
-    /// Records how a request of this process ended; `mean_answer` is the mean time of
-    /// answers.
+    /// Records how a request of this process ended; `mean_answer` is the
+    /// mean time of answers.
     pub(crate) fn end(&mut self, now: Time, outcome: Outcome, mean_answer: Duration) {
         self.history.record(now, self.own);
         self.own = self.own.saturating_sub(1);
--- a/lib/src/handoff.rs
+++ b/lib/src/handoff.rs
@@ -139,7 +139,7 @@
     /// Records a measured round trip to a target.
     pub fn observe_way(&mut self, node: &str, took: Duration) {
         if let Some(target) = self.targets.get_mut(node) {
-            target.observe_way(took);
+            target.observe_round_trip(took);
         }
     }
 
--- a/lib/src/handoff_target.rs
+++ b/lib/src/handoff_target.rs
@@ -98,7 +98,7 @@
     }
 
     /// Records a measured round trip.
-    pub(crate) fn observe_way(&mut self, took: Duration) {
+    pub(crate) fn observe_round_trip(&mut self, took: Duration) {
         let new = took.as_secs_f64();
         self.round_trip = Some(
             self.round_trip
--- a/lib/src/others.rs
+++ b/lib/src/others.rs
@@ -7,7 +7,7 @@
 /// Time since a server's last report after which it is assumed to get no
 /// requests: turns of a program follow each other within a second.
 const IDLE_AFTER: Duration = Duration::from_secs(1);
-/// Age beyond which reports from other processes say nothing about the present.
+/// Age beyond which reports from other processes are out of date.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(500);
 
 /// Requests of other processes at the servers of a service.
--- a/lib/src/outlier.rs
+++ b/lib/src/outlier.rs
@@ -15,7 +15,7 @@
 /// Failure rate above which a server is ejected; reached by two consecutive
 /// failures. Some services fail one in a hundred requests in normal operation.
 const EJECTION_RATE: f64 = 0.4;
-/// Failure rate below which earlier ejections are forgotten; reached by four
+/// Failure rate below which earlier ejections no longer count; reached by four
 /// successful answers.
 const RESET_RATE: f64 = 0.12;
 /// Duration of the first ejection; doubled for each consecutive one.
--- a/lib/src/pace.rs
+++ b/lib/src/pace.rs
@@ -379,7 +379,7 @@
 
     /// Returns the mean factor by which overdue requests exceed their expected
     /// time, if most of the waiting requests are overdue: a single one that hangs
-    /// says little about the server. A request counts only once one that was sent
+    /// is weak evidence. A request counts only once one that was sent
     /// later has been answered; until then all servers may be equally slow.
     pub fn overdue(&self, now: Time, baseline: &Baseline) -> Option<f64> {
         let counts =
--- a/lib/src/regression.rs
+++ b/lib/src/regression.rs
@@ -12,7 +12,7 @@
 /// Weight of the newest sample in the mean error.
 const ERROR_WEIGHT: f64 = 0.05;
 /// Errors are limited to this multiple of the mean error: a request that hung or
-/// whose server was preempted says little about the others.
+/// whose server was preempted is no evidence about the others.
 const CLIP: f64 = 3.0;
 
 /// A linear function of `N` inputs, the first of which is usually the constant 1.
--- a/lib/src/server.rs
+++ b/lib/src/server.rs
@@ -9,7 +9,7 @@
 use crate::hash;
 use crate::load_report::ServerStart;
 
-/// Whether a server takes new requests.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     /// Accepts new requests.
@@ -33,7 +33,7 @@
     pub centre: Arc<str>,
     /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: ServerState,
 }
 
--- a/lib/src/turn_cost.rs
+++ b/lib/src/turn_cost.rs
@@ -75,8 +75,7 @@
         stay.max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the time that a request takes of a gateway that serves it, in
-    /// seconds.
+    /// Returns the capacity that a gateway uses to serve a request, in seconds.
     pub(crate) fn serve_time(&self, offer: Offer, power: Power) -> f64 {
         let body = offer.body as f64;
         let bytes = if offer.kept {
@@ -87,8 +86,7 @@
         power.time(bytes, TURN_CORE_S)
     }
 
-    /// Returns the time that a request takes of a gateway that forwards it, in
-    /// seconds.
+    /// Returns the capacity that a gateway uses to forward a request, in seconds.
     pub(crate) fn forward_time(offer: Offer, power: Power) -> f64 {
         let bytes = offer.body as f64 * FORWARD_COPIES;
         power.time(bytes, TURN_CORE_S * FORWARD_SHARE)
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Choice of a server and the load known of servers, without a network. The
+//! Choice of a server, and estimates of the load of servers, without a network. The
 //! scenarios reproduce the traffic of the busiest days.
 
 use std::collections::HashMap;
