--- a/lib/src/concurrency.rs
+++ b/lib/src/concurrency.rs
@@ -1,34 +1,36 @@
-//! How many requests a gateway has at the servers of a service at once, where
-//! they refuse what they have no room for.
+//! Limit of the concurrent requests that a gateway sends to the servers of a
+//! service, where the servers refuse requests for lack of room.
 //!
-//! The gateways that share a service know nothing of each other here. Each one
-//! takes back a part of what it sends when a server refuses, and adds a little
-//! with each answer, so that their shares come to be alike and their sum is
-//! what the servers take. A service whose servers refuse nothing has no limit.
+//! Gateways that share a service don't coordinate their limits. Each one lowers
+//! its limit by a factor when a server refuses, and raises it slightly with each
+//! answer (additive increase, multiplicative decrease), so that the limits become
+//! equal and their sum approaches what the servers accept. There is no limit
+//! while the servers refuse nothing.
 
 use std::time::Duration;
 
 use crate::server::Outcome;
 use crate::time::Time;
 
-/// Part of the limit that is kept after a refusal.
-const KEPT: f64 = 0.9;
-/// What is added to the limit while as many requests as it holds are answered,
-/// and after which wait of its oldest request a gateway adds twice as much: one
-/// that waits longer than others gets a larger share.
-const STEP: f64 = 0.1;
-const STEP_WAIT: Duration = Duration::from_millis(100);
-/// Least limit: a gateway that sends nothing would not hear of free places.
-const LEAST: f64 = 1.0;
-/// How long a limit lasts after the last refusal, if nothing waits.
-const LASTS: Duration = Duration::from_secs(2);
-/// Span of time over which the rate of answers is the mean.
-const RATE_SPAN: Duration = Duration::from_secs(1);
-/// Answers and time from which on their rate is known.
-const RATE_ANSWERS: u32 = 4;
-const RATE_AFTER: Duration = Duration::from_millis(200);
-
-/// What a gateway has at the servers of one service.
+/// Factor by which a refusal lowers the limit.
+const DECREASE_FACTOR: f64 = 0.9;
+/// Increase of the limit once as many requests as it allows are answered. It
+/// doubles when the oldest request has waited for `INCREASE_WAIT`, so that a
+/// gateway whose requests wait longer than those of others gets a larger share.
+const INCREASE: f64 = 0.1;
+const INCREASE_WAIT: Duration = Duration::from_millis(100);
+/// Lower bound of the limit: a gateway that sends nothing would not notice that
+/// there is room again.
+const MIN_LIMIT: f64 = 1.0;
+/// Time after the last refusal after which the limit is lifted, if nothing waits.
+const LIMIT_RETENTION: Duration = Duration::from_secs(2);
+/// Time constant of the average rate of answers.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// Number of answers and time that are needed before the rate is known.
+const RATE_MIN_ANSWERS: u32 = 4;
+const RATE_MIN_AGE: Duration = Duration::from_millis(200);
+
+/// The requests of a gateway at the servers of one service, and their limit.
 #[derive(Clone, Debug, Default)]
 pub struct Concurrency {
     running: u32,
@@ -37,22 +39,22 @@
 
 #[derive(Clone, Debug)]
 struct Limit {
-    /// Requests at once.
+    /// Largest number of concurrent requests.
     value: f64,
-    /// The last refusal that lowered it; requests sent before it say nothing
-    /// new.
-    lowered: Option<Time>,
-    /// The last refusal.
-    refused: Time,
+    /// When a refusal last lowered the limit; refusals of requests that were sent
+    /// before then don't lower it again.
+    lowered_at: Option<Time>,
+    /// When a server last refused a request.
+    refused_at: Time,
     rate: Rate,
 }
 
-/// Counts answers from the time on when they were first limited: before, their
-/// rate was that of the callers.
+/// Rate of answers since the limit was set; before that, the rate was determined
+/// by the callers.
 #[derive(Clone, Debug)]
 struct Rate {
     since: Time,
-    counted: Time,
+    counted_at: Time,
     recent: f64,
     answers: u32,
 }
@@ -61,36 +63,36 @@
     fn new(now: Time) -> Self {
         Self {
             since: now,
-            counted: now,
+            counted_at: now,
             recent: 0.0,
             answers: 0,
         }
     }
 
-    fn left(&self, now: Time) -> f64 {
-        let spans = now.since(self.counted).as_secs_f64() / RATE_SPAN.as_secs_f64();
+    fn decayed(&self, now: Time) -> f64 {
+        let spans = now.since(self.counted_at).as_secs_f64() / RATE_WINDOW.as_secs_f64();
         self.recent * (-spans).exp()
     }
 
     fn count(&mut self, now: Time) {
-        self.recent = self.left(now) + 1.0;
-        self.counted = now;
+        self.recent = self.decayed(now) + 1.0;
+        self.counted_at = now;
         self.answers = self.answers.saturating_add(1);
     }
 
     fn value(&self, now: Time) -> Option<f64> {
         let age = now.since(self.since);
-        if age < RATE_AFTER || self.answers < RATE_ANSWERS {
+        if age < RATE_MIN_AGE || self.answers < RATE_MIN_ANSWERS {
             return None;
         }
-        let span = RATE_SPAN.as_secs_f64();
+        let span = RATE_WINDOW.as_secs_f64();
         let seen = span * (1.0 - (-age.as_secs_f64() / span).exp());
-        Some(self.left(now) / seen)
+        Some(self.decayed(now) / seen)
     }
 }
 
 impl Concurrency {
-    /// Returns the requests under way.
+    /// Returns the number of requests under way.
     pub fn running(&self) -> u32 {
         self.running
     }
@@ -100,30 +102,31 @@
         self.limit.as_ref().map(|limit| limit.value)
     }
 
-    /// Returns whether one more request may go to a server, where `lost` of those
-    /// under way are at servers that do not answer. These take no room: the
-    /// others would wait for a server that died until callers give up.
-    pub fn has_room(&self, lost: u32) -> bool {
-        let running = f64::from(self.running.saturating_sub(lost));
+    /// Returns whether one more request may be sent, where `unresponsive` of those
+    /// under way are at servers that do not answer. These don't count against the
+    /// limit: otherwise requests to other servers would wait for a failed server
+    /// until their callers give up.
+    pub fn has_room(&self, unresponsive: u32) -> bool {
+        let running = f64::from(self.running.saturating_sub(unresponsive));
         self.limit
             .as_ref()
             .is_none_or(|limit| running + 1.0 <= limit.value)
     }
 
-    /// Returns how many requests are answered a second; `None` while that is
-    /// not limited, or not known yet.
+    /// Returns the answers per second; `None` if there is no limit or the rate is
+    /// not known yet.
     pub fn rate(&self, now: Time) -> Option<f64> {
         self.limit.as_ref()?.rate.value(now)
     }
 
-    /// Notes that a request goes to a server.
+    /// Counts a request that is sent to a server.
     pub fn begin(&mut self) {
         self.running += 1;
     }
 
-    /// Notes how a request ended that was sent at `sent`, where the servers have
-    /// places for `places` requests of all gateways, and the oldest request that
-    /// waits here has done so for `wait`.
+    /// Records the outcome of a request that was sent at `sent`. `places` is how many
+    /// requests of all gateways the servers hold, and `wait` how long the oldest
+    /// queued request of this gateway has waited.
     pub fn end(&mut self, now: Time, sent: Time, outcome: Outcome, places: u32, wait: Duration) {
         match outcome {
             Outcome::Full => self.lower(now, sent, places),
@@ -137,14 +140,14 @@
         let before = f64::from(self.running.min(places));
         let limit = self.limit.get_or_insert_with(|| Limit {
             value: before,
-            lowered: None,
-            refused: now,
+            lowered_at: None,
+            refused_at: now,
             rate: Rate::new(now),
         });
-        limit.refused = now;
-        if limit.lowered.is_none_or(|lowered| sent > lowered) {
-            limit.value = (limit.value * KEPT).max(LEAST);
-            limit.lowered = Some(now);
+        limit.refused_at = now;
+        if limit.lowered_at.is_none_or(|lowered_at| sent > lowered_at) {
+            limit.value = (limit.value * DECREASE_FACTOR).max(MIN_LIMIT);
+            limit.lowered_at = Some(now);
         }
     }
 
@@ -153,17 +156,17 @@
             return;
         };
         limit.rate.count(now);
-        // Answers to less than the limit holds do not say that more fits.
+        // Answers below the limit are no evidence that a higher one fits.
         if f64::from(self.running) + 1.0 > limit.value {
-            let most = f64::from(places).max(LEAST);
-            let step = STEP * (1.0 + wait.as_secs_f64() / STEP_WAIT.as_secs_f64());
+            let most = f64::from(places).max(MIN_LIMIT);
+            let step = INCREASE * (1.0 + wait.as_secs_f64() / INCREASE_WAIT.as_secs_f64());
             limit.value = (limit.value + step / limit.value).min(most);
         }
     }
 
-    /// Lifts the limit if nothing waits and no server refused for long.
+    /// Lifts the limit if it leaves room and the last refusal is long ago.
     pub fn relax(&mut self, now: Time) {
-        let over = |limit: &Limit| now.since(limit.refused) > LASTS;
+        let over = |limit: &Limit| now.since(limit.refused_at) > LIMIT_RETENTION;
         if self.has_room(0) && self.limit.as_ref().is_some_and(over) {
             self.limit = None;
         }
--- a/lib/src/dispatch_queue.rs
+++ b/lib/src/dispatch_queue.rs
@@ -1,10 +1,10 @@
-//! Requests that wait in a gateway for a server with room, and which of them
-//! goes next.
+//! Queue in a gateway of requests for which no server has room.
 //!
-//! The most urgent rank goes first. Within a rank workspaces take turns by the
-//! work of their requests, so that one that sends a flood waits for itself, and
-//! within a workspace the request goes first that has to begin first. A request
-//! waits only as long as its work can still be done in its time.
+//! The most urgent rank is served first. Within a rank the workspaces share the
+//! service by the work of their requests (deficit round robin), so that a
+//! workspace that sends a flood delays only itself. Within a workspace, requests
+//! are served in the order of the latest times at which they have to be sent. A
+//! request is queued only as long as its work can still be completed in time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,74 +18,75 @@
 
 use crate::time::Time;
 
-/// Wait after which a request's rank no longer stands back behind more urgent
-/// ones: half of the shortest time that callers give a request.
-const AGED: Duration = Duration::from_millis(600);
-/// One in so many requests is of an aged rank; the others go by urgency.
+/// Wait after which a request of a less urgent rank may be served before more
+/// urgent ones: half of the shortest time limit that callers set for a request.
+const AGED_AFTER: Duration = Duration::from_millis(600);
+/// One in this many requests is taken from a rank with such an aged request; the
+/// others are served by urgency.
 const AGED_EVERY: u32 = 8;
-/// Least work that a request counts as.
-const LEAST_WORK: Duration = Duration::from_millis(1);
-/// Shortest and longest time after which a refused caller is to come back.
-const RETRY_LEAST: Duration = Duration::from_millis(120);
-const RETRY_MOST: Duration = Duration::from_secs(1);
+/// Minimum work that is charged for a request.
+const MIN_WORK: Duration = Duration::from_millis(1);
+/// Bounds of the time after which a refused caller should retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(120);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 new_key_type! {
-    /// Names a request that waits.
+    /// Key of a queued request.
     pub struct EntryKey;
 }
 
-/// Most that waits at once.
+/// Limits of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueBounds {
-    /// Requests.
+    /// Number of requests.
     pub length: usize,
-    /// Bytes of their bodies.
+    /// Total size of their bodies, in bytes.
     pub bytes: usize,
 }
 
-/// A request that found no room.
+/// A request for which no server has room.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiting {
-    /// Name of the workspace that sent it; those without one have a share
-    /// together.
+    /// Name of the workspace that sent the request; requests without a workspace
+    /// share one queue.
     pub workspace: Option<Arc<str>>,
-    /// Its rank, 0 the most urgent.
+    /// The request's rank; 0 is the most urgent.
     pub rank: u8,
-    /// When it came.
+    /// When the request arrived.
     pub since: Time,
-    /// When it has to be sent at the latest to be answered in its time.
+    /// Latest time to send the request so that it is answered in time.
     pub until: Time,
-    /// Its usual work.
+    /// Typical work of the request.
     pub work: Duration,
-    /// Bytes of its body.
+    /// Size of the request's body, in bytes.
     pub bytes: usize,
 }
 
-/// Why a request does not wait. It has not run.
+/// Why a request is not queued, or no longer. It has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum QueueRefusal {
-    /// It would not be sent in its time.
+    /// The expected wait is longer than the request's time limit allows.
     #[error("servers are full, and the queue takes longer than there is time; come back")]
     Slow {
-        /// When the caller is to come back.
+        /// After which time the caller should retry.
         after: Duration,
     },
-    /// No server had room while its time covered its work.
+    /// No server had room while there was enough time left for the work.
     #[error("servers were full until the time left was too short for the work; come back")]
     Late {
-        /// When the caller is to come back.
+        /// After which time the caller should retry.
         after: Duration,
     },
-    /// Too many wait.
+    /// The queue is full.
     #[error("servers are full, and too many requests wait for them; come back")]
     Full {
-        /// When the caller is to come back.
+        /// After which time the caller should retry.
         after: Duration,
     },
 }
 
 impl QueueRefusal {
-    /// Returns when the caller is to come back.
+    /// Returns after which time the caller should retry.
     pub fn after(self) -> Duration {
         match self {
             Self::Slow { after } | Self::Late { after } | Self::Full { after } => after,
@@ -93,118 +94,121 @@
     }
 }
 
-/// A request that waits now.
+/// Result of queueing a request.
 #[derive(Debug)]
 pub struct Pushed<T> {
-    /// Its key.
+    /// The request's key.
     pub key: EntryKey,
-    /// What the owners of those left that had to leave for it.
+    /// Owners of the requests that were removed to make room for it.
     pub displaced: Vec<T>,
 }
 
 #[derive(Debug)]
 struct Entry<T> {
     waiting: Waiting,
-    place: Place,
+    position: Position,
     owner: T,
 }
 
-/// Place among the requests of a workspace: when it has to begin, then in order
-/// of arrival.
-type Place = (Time, u64, EntryKey);
+/// Order of the requests of a workspace: by the latest time to send them, then by
+/// arrival.
+type Position = (Time, u64, EntryKey);
 
 /// The requests of one workspace in one rank.
 #[derive(Debug, Default)]
-struct Share {
+struct WorkspaceQueue {
     credit: Duration,
-    places: BTreeSet<Place>,
+    positions: BTreeSet<Position>,
 }
 
 /// The requests of one rank.
 #[derive(Debug, Default)]
 struct Rank {
-    /// Workspaces in the order in which they have their turn.
+    /// Workspaces in round-robin order.
     round: VecDeque<Option<Arc<str>>>,
-    shares: BTreeMap<Option<Arc<str>>, Share>,
-    /// Most work of a request so far, which each turn gives.
-    turn: Duration,
+    queues: BTreeMap<Option<Arc<str>>, WorkspaceQueue>,
+    /// Credit that a workspace receives per round: the largest work of a request so
+    /// far.
+    quantum: Duration,
     ages: BTreeSet<(Time, EntryKey)>,
 }
 
 impl Rank {
-    fn add(&mut self, waiting: &Waiting, place: Place) {
-        self.turn = self.turn.max(waiting.work);
+    fn add(&mut self, waiting: &Waiting, position: Position) {
+        self.quantum = self.quantum.max(waiting.work);
         let name = &waiting.workspace;
-        if !self.shares.contains_key(name) {
+        if !self.queues.contains_key(name) {
             self.round.push_back(name.clone());
-            let share = Share {
-                credit: self.turn,
-                places: BTreeSet::new(),
+            let queue = WorkspaceQueue {
+                credit: self.quantum,
+                positions: BTreeSet::new(),
             };
-            self.shares.insert(name.clone(), share);
+            self.queues.insert(name.clone(), queue);
         }
-        if let Some(share) = self.shares.get_mut(name) {
-            share.places.insert(place);
+        if let Some(queue) = self.queues.get_mut(name) {
+            queue.positions.insert(position);
         }
-        self.ages.insert((waiting.since, place.2));
+        self.ages.insert((waiting.since, position.2));
     }
 
-    fn remove(&mut self, waiting: &Waiting, place: &Place) {
-        self.ages.remove(&(waiting.since, place.2));
+    fn remove(&mut self, waiting: &Waiting, position: &Position) {
+        self.ages.remove(&(waiting.since, position.2));
         let name = &waiting.workspace;
-        let Some(share) = self.shares.get_mut(name) else {
+        let Some(queue) = self.queues.get_mut(name) else {
             return;
         };
-        share.places.remove(place);
-        if share.places.is_empty() {
-            self.shares.remove(name);
+        queue.positions.remove(position);
+        if queue.positions.is_empty() {
+            self.queues.remove(name);
             self.round.retain(|other| other != name);
         }
     }
 
-    /// Returns whose turn it is, and takes its work off its workspace's credit.
+    /// Returns the request to serve next, and charges its work to its workspace.
     fn next(&mut self, work: impl Fn(EntryKey) -> Duration) -> Option<EntryKey> {
         loop {
             let name = self.round.front()?;
-            let share = self.shares.get_mut(name)?;
-            let key = share.places.first()?.2;
+            let queue = self.queues.get_mut(name)?;
+            let key = queue.positions.first()?.2;
             let cost = work(key);
-            if let Some(rest) = share.credit.checked_sub(cost) {
-                share.credit = rest;
+            if let Some(rest) = queue.credit.checked_sub(cost) {
+                queue.credit = rest;
                 return Some(key);
             }
-            share.credit += self.turn;
+            queue.credit += self.quantum;
             self.round.rotate_left(1);
         }
     }
 
-    /// Returns the newest request but `spared` of the workspace that has most.
-    fn newest(&self, spared: Option<EntryKey>) -> Option<EntryKey> {
-        let shares = self.shares.values();
-        let all = shares.filter_map(|share| {
-            let places = share.places.iter();
-            let others = places.filter(|place| Some(place.2) != spared);
+    /// Returns the newest request, other than `kept`, of the workspace with most.
+    fn newest(&self, kept: Option<EntryKey>) -> Option<EntryKey> {
+        let queues = self.queues.values();
+        let all = queues.filter_map(|queue| {
+            let positions = queue.positions.iter();
+            let others = positions.filter(|position| Some(position.2) != kept);
             let (order, key) = others.map(|&(_, order, key)| (order, key)).max()?;
-            Some((share.places.len(), order, key))
+            Some((queue.positions.len(), order, key))
         });
         all.max().map(|(_, _, key)| key)
     }
 
-    /// Returns how many go before a request that comes now.
-    fn ahead(&self, waiting: &Waiting) -> usize {
-        let own = self.shares.get(&waiting.workspace).map_or(0, |share| {
-            let places = share.places.iter();
-            places.take_while(|place| place.0 <= waiting.until).count()
+    /// Returns how many requests of this rank would be served before a new one.
+    fn requests_ahead(&self, waiting: &Waiting) -> usize {
+        let own = self.queues.get(&waiting.workspace).map_or(0, |queue| {
+            let positions = queue.positions.iter();
+            positions
+                .take_while(|position| position.0 <= waiting.until)
+                .count()
         });
-        let others = self.shares.iter();
+        let others = self.queues.iter();
         let others = others.filter(|(name, _)| **name != waiting.workspace);
-        let before = others.map(|(_, share)| share.places.len().min(own + 1));
+        let before = others.map(|(_, queue)| queue.positions.len().min(own + 1));
         own + before.sum::<usize>()
     }
 }
 
-/// The requests that wait for the servers of one service. `T` is what their
-/// owners leave with them, to be told by.
+/// The requests that wait for the servers of one service. `T` is how the owner of
+/// a request is notified.
 #[derive(Debug)]
 pub struct DispatchQueue<T> {
     bounds: QueueBounds,
@@ -212,12 +216,13 @@
     ranks: BTreeMap<u8, Rank>,
     bytes: usize,
     arrivals: u64,
-    /// Requests that went by urgency since one went by age.
-    urgent: u32,
+    /// Requests that were served by urgency since the last one that was served by
+    /// age.
+    since_aged: u32,
 }
 
 impl<T> DispatchQueue<T> {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(bounds: QueueBounds) -> Self {
         Self {
             bounds,
@@ -225,38 +230,39 @@
             ranks: BTreeMap::new(),
             bytes: 0,
             arrivals: 0,
-            urgent: 0,
+            since_aged: 0,
         }
     }
 
-    /// Returns how many wait.
+    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether there are no requests.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the bytes of those that wait.
+    /// Returns the total size of the requests' bodies, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns how long the oldest one has been there.
+    /// Returns how long the oldest request has waited.
     pub fn oldest(&self, now: Time) -> Duration {
         let firsts = self.ranks.values().filter_map(|rank| rank.ages.first());
         let first = firsts.map(|&(since, _)| since).min();
         first.map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// Lets a request wait, where `rate` requests go a second if that is known.
+    /// Queues a request. `rate` is the number of requests that are served per
+    /// second, if that is known.
     ///
     /// # Errors
     ///
-    /// Returns a [`QueueRefusal`] if it would wait in vain, or if the queue is
-    /// full and all others go before it.
+    /// Returns a [`QueueRefusal`] if the request would not be served in time, or if
+    /// the queue is full and all other requests take precedence.
     pub fn push(
         &mut self,
         now: Time,
@@ -264,11 +270,11 @@
         rate: Option<f64>,
         owner: T,
     ) -> Result<Pushed<T>, QueueRefusal> {
-        let expected = self.expected(&waiting, rate);
+        let expected = self.expected_wait(&waiting, rate);
         let spare = waiting.until.since(now);
         if spare.is_zero() || expected.is_some_and(|wait| wait > spare) {
             let after = expected.unwrap_or_default().saturating_sub(spare);
-            let after = after.clamp(RETRY_LEAST, RETRY_MOST);
+            let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
             return Err(QueueRefusal::Slow { after });
         }
         let full = QueueRefusal::Full {
@@ -279,11 +285,11 @@
         }
         let key = self.insert(waiting, owner);
         let mut displaced = Vec::new();
-        while self.is_over() {
-            // It stays if another one had to leave for it.
-            let spared = (!displaced.is_empty()).then_some(key);
+        while self.exceeds_bounds() {
+            // Once another request was removed for this one, this one is kept.
+            let kept = (!displaced.is_empty()).then_some(key);
             let mut ranks = self.ranks.values().rev();
-            let Some(last) = ranks.find_map(|rank| rank.newest(spared)) else {
+            let Some(last) = ranks.find_map(|rank| rank.newest(kept)) else {
                 break;
             };
             let removed = self.remove(last);
@@ -295,70 +301,76 @@
         Ok(Pushed { key, displaced })
     }
 
-    /// Returns when callers are to come back that find the queue full.
+    /// Returns after which time callers should retry that find the queue full.
     pub fn come_back(&self, rate: Option<f64>) -> Duration {
-        let drained = rate.map(|rate| seconds(self.len() as f64 / rate));
-        drained.unwrap_or_default().clamp(RETRY_LEAST, RETRY_MOST)
+        let drained = rate.map(|rate| duration_from_secs(self.len() as f64 / rate));
+        drained
+            .unwrap_or_default()
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    fn is_over(&self) -> bool {
+    fn exceeds_bounds(&self) -> bool {
         self.len() > self.bounds.length || self.bytes > self.bounds.bytes
     }
 
-    /// Returns how long a request would wait.
-    fn expected(&self, waiting: &Waiting, rate: Option<f64>) -> Option<Duration> {
+    /// Returns how long a new request would wait; `None` if that is not known, or if
+    /// no request is ahead of it.
+    fn expected_wait(&self, waiting: &Waiting, rate: Option<f64>) -> Option<Duration> {
         let rate = rate?;
         let before = self.ranks.range(..waiting.rank);
         let before: usize = before.map(|(_, rank)| rank.ages.len()).sum();
         let own = self.ranks.get(&waiting.rank);
-        let ahead = before + own.map_or(0, |rank| rank.ahead(waiting));
+        let ahead = before + own.map_or(0, |rank| rank.requests_ahead(waiting));
         if ahead == 0 {
             return None;
         }
-        Some(seconds(ahead as f64 / rate))
+        Some(duration_from_secs(ahead as f64 / rate))
     }
 
     fn insert(&mut self, waiting: Waiting, owner: T) -> EntryKey {
         let waiting = Waiting {
-            work: waiting.work.max(LEAST_WORK),
+            work: waiting.work.max(MIN_WORK),
             ..waiting
         };
         self.bytes += waiting.bytes;
         self.arrivals += 1;
         let order = self.arrivals;
         let key = self.entries.insert_with_key(|key| Entry {
-            place: (waiting.until, order, key),
+            position: (waiting.until, order, key),
             waiting,
             owner,
         });
-        let Entry { waiting, place, .. } = &self.entries[key];
+        let Entry {
+            waiting, position, ..
+        } = &self.entries[key];
         let rank = self.ranks.entry(waiting.rank).or_default();
-        rank.add(waiting, *place);
+        rank.add(waiting, *position);
         key
     }
 
-    /// Removes a request, if it still waits, and returns what its owner left.
+    /// Removes a request, if it is still queued, and returns its owner.
     pub fn remove(&mut self, key: EntryKey) -> Option<T> {
         let Entry {
             waiting,
-            place,
+            position,
             owner,
         } = self.entries.remove(key)?;
         self.bytes -= waiting.bytes;
         if let Some(rank) = self.ranks.get_mut(&waiting.rank) {
-            rank.remove(&waiting, &place);
-            if rank.shares.is_empty() {
+            rank.remove(&waiting, &position);
+            if rank.queues.is_empty() {
                 self.ranks.remove(&waiting.rank);
             }
         }
         Some(owner)
     }
 
-    /// Removes those that can no longer be answered in their time.
+    /// Removes the requests that can no longer be answered in time, and returns
+    /// their owners.
     pub fn expire(&mut self, now: Time) -> Vec<T> {
-        let shares = self.ranks.values().flat_map(|rank| rank.shares.values());
-        let places = shares.flat_map(|share| &share.places);
-        let late: Vec<EntryKey> = places
+        let queues = self.ranks.values().flat_map(|rank| rank.queues.values());
+        let positions = queues.flat_map(|queue| &queue.positions);
+        let late: Vec<EntryKey> = positions
             .filter(|(until, ..)| *until < now)
             .map(|&(_, _, key)| key)
             .collect();
@@ -367,10 +379,10 @@
             .collect()
     }
 
-    /// Removes the request that goes next.
+    /// Removes the request to serve next, and returns its owner.
     pub fn pop(&mut self, now: Time) -> Option<T> {
-        let aged = self.aged(now);
-        self.urgent = aged.map_or(self.urgent.saturating_add(1), |_| 0);
+        let aged = self.due_aged_rank(now);
+        self.since_aged = aged.map_or(self.since_aged.saturating_add(1), |_| 0);
         let number = aged.or_else(|| self.ranks.keys().next().copied())?;
         let entries = &self.entries;
         let rank = self.ranks.get_mut(&number)?;
@@ -378,22 +390,22 @@
         self.remove(key)
     }
 
-    /// Returns the rank that waits longest behind more urgent ones, if it has
-    /// its turn.
-    fn aged(&self, now: Time) -> Option<u8> {
-        if self.urgent + 1 < AGED_EVERY {
+    /// Returns the rank, other than the most urgent one, whose oldest request has
+    /// waited longest, if it has aged and a request is due to be served by age.
+    fn due_aged_rank(&self, now: Time) -> Option<u8> {
+        if self.since_aged + 1 < AGED_EVERY {
             return None;
         }
         let behind = self.ranks.iter().skip(1);
         let oldest = behind.filter_map(|(&number, rank)| {
             let &(since, _) = rank.ages.first()?;
-            (now.since(since) >= AGED).then_some((since, number))
+            (now.since(since) >= AGED_AFTER).then_some((since, number))
         });
         oldest.min().map(|(_, number)| number)
     }
 }
 
-/// Returns a time that may be endless.
-fn seconds(count: f64) -> Duration {
+/// Converts seconds to a duration; the largest one if the number is too large.
+fn duration_from_secs(count: f64) -> Duration {
     Duration::try_from_secs_f64(count).unwrap_or(Duration::MAX)
 }
--- a/lib/src/idle_limit.rs
+++ b/lib/src/idle_limit.rs
@@ -1,68 +1,70 @@
-//! How long a connection to a server may have been idle before it is used for
-//! a request that may run once only.
+//! How long a connection to a server may have been idle and still be used for a
+//! request that must run at most once.
 //!
-//! A connection that its server dropped breaks as soon as something is sent on
-//! it, and the request's outcome is unknown. So an early drop makes the limit
-//! shorter for a while. A break that comes later, when the server had time to
-//! answer, says nothing of idle connections: the server lost an answer. Taken
-//! for drops, lost answers of some servers had all connections that were idle
-//! for a fifth of a second thrown away for 20 s, and a third of all
-//! connections made for that.
+//! If the server has closed a connection, the next send on it fails and the
+//! outcome of the request is unknown. An early close therefore lowers the limit
+//! for a while. A break that comes later, when the server had time to answer, is
+//! no evidence about idle connections: the server lost an answer. When lost
+//! answers of some servers were taken for closed connections, all connections
+//! that had been idle for a fifth of a second were discarded for 20 s, and a
+//! third of all connections were opened to replace them.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Longest idle time while no connection was found dropped: the answer of a
-/// request that may run once cannot be asked for again if it is lost.
-const LONGEST: Duration = Duration::from_secs(4);
-/// Least such time, however early connections are dropped.
-const LEAST: Duration = Duration::from_millis(200);
-/// How long servers that drop connections early are remembered.
-const MEMORY: Duration = Duration::from_secs(20);
-/// How soon after a request was sent on it a dropped connection breaks: a round
-/// trip between data centres of 3 ms, and the delays of a small VM. Servers
-/// work for 20 ms and longer before they answer.
-const BREAK_WAIT: Duration = Duration::from_millis(15);
+/// Limit while no connection was found closed: if the answer of a request that
+/// must run at most once is lost, the request cannot be sent again.
+const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Lower bound of the limit, however early connections are closed.
+const MIN_IDLE: Duration = Duration::from_millis(200);
+/// How long an early close lowers the limit.
+const CLOSE_RETENTION: Duration = Duration::from_secs(20);
+/// How soon after a send a connection breaks if the server had closed it: a round
+/// trip of 3 ms between data centres, and the delays of a small VM. Servers work
+/// for at least 20 ms before they answer.
+const MAX_BREAK_DELAY: Duration = Duration::from_millis(15);
 
-/// A connection that its server had dropped without a word.
+/// A connection that its server had closed while it was idle.
 #[derive(Clone, Copy, Debug)]
-struct Dropped {
+struct EarlyClose {
     at: Time,
-    /// How long it had been idle.
+    /// How long the connection had been idle.
     idle: Duration,
 }
 
-/// The longest time that a connection may have been idle.
+/// Limit of the idle time of connections to a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IdleLimit {
-    dropped: Option<Dropped>,
+    early_close: Option<EarlyClose>,
 }
 
 impl IdleLimit {
-    /// Notes that a connection that was used again after `idle` broke, `after` a
-    /// request was sent on it and before its answer.
+    /// Records that a connection which was reused after `idle` broke, `after` a
+    /// request was sent on it and before the answer.
     pub fn note_break(&mut self, now: Time, idle: Duration, after: Duration) {
-        if after > BREAK_WAIT {
+        if after > MAX_BREAK_DELAY {
             return;
         }
-        let known = self.fresh(now).map_or(idle, |old| old.idle.min(idle));
-        self.dropped = Some(Dropped {
+        let shortest = self
+            .recent_close(now)
+            .map_or(idle, |old| old.idle.min(idle));
+        self.early_close = Some(EarlyClose {
             at: now,
-            idle: known,
+            idle: shortest,
         });
     }
 
     /// Returns the longest time that a connection may have been idle.
     pub fn longest(&self, now: Time) -> Duration {
-        match self.fresh(now) {
-            Some(dropped) => (dropped.idle / 2).clamp(LEAST, LONGEST),
-            None => LONGEST,
+        match self.recent_close(now) {
+            Some(early_close) => (early_close.idle / 2).clamp(MIN_IDLE, MAX_IDLE),
+            None => MAX_IDLE,
         }
     }
 
-    fn fresh(&self, now: Time) -> Option<Dropped> {
-        self.dropped
-            .filter(|dropped| now.since(dropped.at) < MEMORY)
+    fn recent_close(&self, now: Time) -> Option<EarlyClose> {
+        self.early_close
+            .filter(|early_close| now.since(early_close.at) < CLOSE_RETENTION)
     }
 }
--- a/lib/src/load_map.rs
+++ b/lib/src/load_map.rs
@@ -1,8 +1,9 @@
-//! What all gateways reported of load, as one keeper knows it.
+//! The load that all gateways reported, as one keeper sees it.
 //!
-//! Nothing of it is stored: a keeper that starts has the whole again after one
-//! report of each gateway. The work for a report does not grow with the number
-//! of gateways: sums are kept, and samples are sorted out as they come.
+//! The load map is not stored: after a start, a keeper has it complete once each
+//! gateway has sent a report. The work for a report does not grow with the number
+//! of gateways: sums are updated incrementally, and samples are filtered as they
+//! arrive.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -25,40 +26,40 @@
 use crate::server::Load;
 use crate::time::Time;
 
-/// Most servers that one answer tells of.
+/// Largest number of servers in one answer.
 pub const MAX_SAMPLES: usize = 64;
-/// Most gateways that one answer tells of.
+/// Largest number of gateways in one answer.
 const MAX_GATEWAYS: usize = 8;
-/// Gateways whose reports are kept.
+/// Largest number of gateways whose reports are kept.
 const MAX_REPORTERS: usize = 4_096;
-/// Services that are told apart.
+/// Largest number of services that are tracked.
 const MAX_SERVICES: usize = 1_024;
-/// Age at which a report no longer counts: the gateway is gone, and so are its
-/// requests. One without requests reports twice within it.
-const REPORT_AGE: Duration = Duration::from_millis(1_500);
-/// Age at which a sample is no longer told.
-const SAMPLE_AGE: Duration = Duration::from_secs(1);
-/// Time in which samples that come are sorted out together.
-const SLICE: Duration = Duration::from_millis(100);
-/// Time between looks for what has aged, and between rankings of gateways.
-const TIDY_EVERY: Duration = Duration::from_millis(100);
-/// Lateness from which on a gateway takes no requests of others: it counts as
-/// having caught up below it.
-const LATE_MS: u32 = 25;
-/// Weight of the newest sample in a service's usual utilization.
-const NEWEST: f64 = 0.05;
-/// Utilization above which servers are loaded alike.
-const MOST_UTILIZATION: f64 = 8.0;
+/// Age from which on a report is ignored: the gateway has stopped, and its
+/// requests have ended. A gateway without requests reports twice within this time.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1_500);
+/// Age from which on a sample is ignored.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(1);
+/// Period over which incoming samples are filtered together.
+const BATCH_SPAN: Duration = Duration::from_millis(100);
+/// Time between removals of old data, and between rankings of the gateways.
+const EXPIRE_EVERY: Duration = Duration::from_millis(100);
+/// Lateness from which on a gateway is not offered requests of other gateways;
+/// below it, a gateway counts as having caught up with its work.
+const MAX_LATE_MS: u32 = 25;
+/// Weight of the newest sample in the mean utilization of a service's servers.
+const EWMA_WEIGHT: f64 = 0.05;
+/// Utilization above which servers count as equally loaded.
+const MAX_UTILIZATION: f64 = 8.0;
 
-/// Tells to which service servers belong.
+/// Maps servers to services.
 pub trait ServerServices {
     /// Returns the service of a server; `None` if the server is not known.
     fn service(&self, start: ServerStart) -> Option<&Arc<str>>;
 }
 
-/// One service in a gateway's report.
+/// A gateway's use of one service, by its latest report.
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct ReportedUse {
     counts: Counts,
     queued: u32,
     rates: RequestRates,
@@ -68,13 +69,13 @@
 struct Reporter {
     boot: Boot,
     state: GatewayState,
-    services: BTreeMap<Arc<str>, Used>,
+    services: BTreeMap<Arc<str>, ReportedUse>,
     at: Time,
-    /// Serial number of its latest report.
+    /// Serial number of the gateway's latest report.
     serial: u64,
 }
 
-/// What all reporters have at a service.
+/// Sum over all reporting gateways for one service.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     running: u64,
@@ -84,14 +85,14 @@
 }
 
 impl Total {
-    fn add(&mut self, used: &Used) {
+    fn add(&mut self, used: &ReportedUse) {
         self.running += u64::from(used.counts.running);
         self.queued += u64::from(used.queued);
         self.rates.add(&used.rates);
         self.reporters += 1;
     }
 
-    fn subtract(&mut self, used: &Used) {
+    fn subtract(&mut self, used: &ReportedUse) {
         self.running = self.running.saturating_sub(u64::from(used.counts.running));
         self.queued = self.queued.saturating_sub(u64::from(used.queued));
         self.rates.subtract(&used.rates);
@@ -101,13 +102,13 @@
 
 #[derive(Clone, Debug)]
 struct Sample {
-    /// Serial number of the report that it came with.
+    /// Serial number of the report that contained the sample.
     serial: u64,
-    /// Gateway that reported it.
+    /// Gateway that reported the sample.
     by: Arc<str>,
     at: Time,
     sample: ServerSample,
-    /// How far the server's utilization is from its service's usual one.
+    /// Difference between the server's utilization and the mean of its service.
     deviation: f64,
 }
 
@@ -117,111 +118,113 @@
     }
 }
 
-/// Samples that came at about the same time.
+/// Samples that arrived at about the same time.
 #[derive(Clone, Debug)]
-struct Slice {
+struct Batch {
     since: Time,
     samples: Vec<Sample>,
 }
 
-impl Slice {
+impl Batch {
     fn push(&mut self, sample: Sample) {
         self.samples.push(sample);
         if self.samples.len() >= 2 * MAX_SAMPLES {
-            keep_most_telling(&mut self.samples, |sample| sample.deviation);
+            keep_most_deviating(&mut self.samples, |sample| sample.deviation);
         }
     }
 }
 
 /// Keeps the samples that deviate most.
-fn keep_most_telling<T>(samples: &mut Vec<T>, deviation: impl Fn(&T) -> f64) {
+fn keep_most_deviating<T>(samples: &mut Vec<T>, deviation: impl Fn(&T) -> f64) {
     samples.sort_by(|a, b| deviation(b).total_cmp(&deviation(a)));
     samples.truncate(MAX_SAMPLES);
 }
 
-/// The latest report of each gateway, and what they sum up to.
+/// The latest report of each gateway, and the sums of these reports.
 #[derive(Clone, Debug, Default)]
 pub struct LoadMap {
     serial: u64,
     reporters: HashMap<Arc<str>, Reporter>,
     totals: BTreeMap<Arc<str>, Total>,
-    slices: VecDeque<Slice>,
+    batches: VecDeque<Batch>,
     places: PlaceLog,
-    /// Usual utilization of the servers of each service.
-    usual: HashMap<Arc<str>, f64>,
-    /// Gateways that take requests, those with most room first.
-    roomy: Vec<GatewayState>,
-    tidied: Time,
+    /// Mean utilization of the servers of each service.
+    mean_utilization: HashMap<Arc<str>, f64>,
+    /// Gateways that accept requests, those with most spare capacity first.
+    available: Vec<GatewayState>,
+    expired_at: Time,
 }
 
 impl LoadMap {
-    /// Takes a gateway's report, and returns what it lacks of those of others.
+    /// Applies a gateway's report, and returns what other gateways reported since
+    /// its previous one.
     pub fn take(
         &mut self,
         now: Time,
-        asker: &ProcessStart,
+        sender: &ProcessStart,
         report: &LoadReport,
         servers: &dyn ServerServices,
     ) -> LoadSummary {
-        self.tidy(now);
+        self.expire(now);
         self.serial += 1;
-        let told = self.replace(now, asker, report);
+        let last_serial = self.replace(now, sender, report);
         for sample in &report.servers {
-            self.keep(now, &asker.node, sample, servers);
+            self.add_sample(now, &sender.node, sample, servers);
         }
-        self.places.put(self.serial, &asker.node, &report.places);
+        self.places.add(self.serial, &sender.node, &report.places);
         LoadSummary {
             reporters: self.reporters.len() as u32,
-            gateways: self.roomiest(&asker.node, &report.gateway.centre),
-            services: self.others(&asker.node),
-            servers: self.samples(now, &asker.node, told),
-            places: self.places.after(told, &asker.node),
+            gateways: self.most_available(&sender.node, &report.gateway.centre),
+            services: self.other_loads(&sender.node),
+            servers: self.newer_samples(now, &sender.node, last_serial),
+            places: self.places.newer(last_serial, &sender.node),
         }
     }
 
-    /// Puts a report in the place of the gateway's earlier one, and returns the
-    /// serial number of that.
-    fn replace(&mut self, now: Time, asker: &ProcessStart, report: &LoadReport) -> u64 {
-        let earlier = self.reporters.remove(&asker.node);
+    /// Replaces the gateway's previous report, and returns the serial number of that
+    /// report; zero if the gateway has restarted since.
+    fn replace(&mut self, now: Time, sender: &ProcessStart, report: &LoadReport) -> u64 {
+        let earlier = self.reporters.remove(&sender.node);
         for (service, used) in earlier.iter().flat_map(|earlier| &earlier.services) {
             if let Some(total) = self.totals.get_mut(service) {
                 total.subtract(used);
             }
         }
-        let earlier = earlier.filter(|earlier| earlier.boot == asker.boot);
-        let told = earlier.as_ref().map_or(0, |earlier| earlier.serial);
+        let earlier = earlier.filter(|earlier| earlier.boot == sender.boot);
+        let last_serial = earlier.as_ref().map_or(0, |earlier| earlier.serial);
         if self.reporters.len() >= MAX_REPORTERS {
-            return told;
+            return last_serial;
         }
         let mut services = BTreeMap::new();
-        for told in &report.services {
-            let known = self.totals.len() < MAX_SERVICES || self.totals.contains_key(&told.service);
-            if !known || services.contains_key(&told.service) {
+        for reported in &report.services {
+            let known =
+                self.totals.len() < MAX_SERVICES || self.totals.contains_key(&reported.service);
+            if !known || services.contains_key(&reported.service) {
                 continue;
             }
-            let used = use_after(now, earlier.as_ref(), told);
+            let used = updated_use(now, earlier.as_ref(), reported);
             self.totals
-                .entry(told.service.clone())
+                .entry(reported.service.clone())
                 .or_default()
                 .add(&used);
-            services.insert(told.service.clone(), used);
+            services.insert(reported.service.clone(), used);
         }
         let state = GatewayState {
-            node: asker.node.clone(),
+            node: sender.node.clone(),
             ..report.gateway.clone()
         };
         let reporter = Reporter {
-            boot: asker.boot,
+            boot: sender.boot,
             state,
             services,
             at: now,
             serial: self.serial,
         };
-        self.reporters.insert(asker.node.clone(), reporter);
-        told
+        self.reporters.insert(sender.node.clone(), reporter);
+        last_serial
     }
 
-    fn keep(
+    fn add_sample(
         &mut self,
         now: Time,
         by: &Arc<str>,
@@ -229,23 +232,29 @@
         servers: &dyn ServerServices,
     ) {
         let age = Duration::from_millis(u64::from(sample.age_ms));
-        let Some(service) = servers.service(sample.start).filter(|_| age < SAMPLE_AGE) else {
+        let Some(service) = servers
+            .service(sample.start)
+            .filter(|_| age < MAX_SAMPLE_AGE)
+        else {
             return;
         };
         let utilization = utilization(&sample.load);
-        let usual = self.usual.entry(service.clone()).or_insert(utilization);
-        let deviation = (utilization - *usual).abs();
-        *usual += (utilization - *usual) * NEWEST;
-        let newest = self.slices.back();
-        if newest.is_none_or(|slice| now.since(slice.since) >= SLICE) {
+        let mean_utilization = self
+            .mean_utilization
+            .entry(service.clone())
+            .or_insert(utilization);
+        let deviation = (utilization - *mean_utilization).abs();
+        *mean_utilization += (utilization - *mean_utilization) * EWMA_WEIGHT;
+        let newest = self.batches.back();
+        if newest.is_none_or(|batch| now.since(batch.since) >= BATCH_SPAN) {
             let samples = Vec::new();
-            self.slices.push_back(Slice {
+            self.batches.push_back(Batch {
                 since: now,
                 samples,
             });
         }
-        if let Some(slice) = self.slices.back_mut() {
-            slice.push(Sample {
+        if let Some(batch) = self.batches.back_mut() {
+            batch.push(Sample {
                 serial: self.serial,
                 by: by.clone(),
                 at: now,
@@ -255,9 +264,9 @@
         }
     }
 
-    /// Returns the services, without what the asker reported.
-    fn others(&self, asker: &str) -> Vec<ServiceLoad> {
-        let own = self.reporters.get(asker);
+    /// Returns the load of each service, excluding the sender's own.
+    fn other_loads(&self, sender: &str) -> Vec<ServiceLoad> {
+        let own = self.reporters.get(sender);
         let loads = self.totals.iter().filter_map(|(service, total)| {
             let mut total = *total;
             if let Some(used) = own.and_then(|own| own.services.get(service)) {
@@ -275,62 +284,66 @@
         loads.collect()
     }
 
-    /// Returns the latest sample of each server that others reported after the
-    /// report `told`.
-    fn samples(&self, now: Time, asker: &str, told: u64) -> Vec<ServerSample> {
-        let all = self.slices.iter().flat_map(|slice| &slice.samples);
-        let news = all.filter(|sample| sample.serial > told && &*sample.by != asker);
+    /// Returns the latest sample of each server that other gateways reported after
+    /// the report `last_serial`.
+    fn newer_samples(&self, now: Time, sender: &str, last_serial: u64) -> Vec<ServerSample> {
+        let all = self.batches.iter().flat_map(|batch| &batch.samples);
+        let newer = all.filter(|sample| sample.serial > last_serial && &*sample.by != sender);
         let mut latest: BTreeMap<ServerStart, &Sample> = BTreeMap::new();
-        for sample in news.filter(|sample| sample.age(now) < SAMPLE_AGE) {
+        for sample in newer.filter(|sample| sample.age(now) < MAX_SAMPLE_AGE) {
             let known = latest.entry(sample.sample.start).or_insert(sample);
             if sample.age(now) < known.age(now) {
                 *known = sample;
             }
         }
         let mut samples: Vec<&Sample> = latest.into_values().collect();
-        keep_most_telling(&mut samples, |sample| sample.deviation);
-        let told = samples.into_iter().map(|sample| ServerSample {
+        keep_most_deviating(&mut samples, |sample| sample.deviation);
+        let aged = samples.into_iter().map(|sample| ServerSample {
             age_ms: sample.age(now).as_millis() as u32,
             ..sample.sample
         });
-        told.collect()
+        aged.collect()
     }
 
-    /// Returns the gateways with most room, those of the asker's data centre
-    /// first.
-    fn roomiest(&self, asker: &str, centre: &str) -> Vec<GatewayState> {
-        let others = || self.roomy.iter().filter(|state| &*state.node != asker);
+    /// Returns the other gateways with most spare capacity, those of the sender's
+    /// data centre first.
+    fn most_available(&self, sender: &str, centre: &str) -> Vec<GatewayState> {
+        let others = || self.available.iter().filter(|state| &*state.node != sender);
         let near = others().filter(|state| &*state.centre == centre);
         let far = others().filter(|state| &*state.centre != centre);
         near.chain(far).take(MAX_GATEWAYS).cloned().collect()
     }
 
-    fn tidy(&mut self, now: Time) {
-        if now.since(self.tidied) < TIDY_EVERY {
+    fn expire(&mut self, now: Time) {
+        if now.since(self.expired_at) < EXPIRE_EVERY {
             return;
         }
-        self.tidied = now;
+        self.expired_at = now;
         self.reporters
-            .retain(|_, reporter| now.since(reporter.at) < REPORT_AGE);
-        self.slices
-            .retain(|slice| now.since(slice.since) < SAMPLE_AGE + SLICE);
+            .retain(|_, reporter| now.since(reporter.at) < MAX_REPORT_AGE);
+        self.batches
+            .retain(|batch| now.since(batch.since) < MAX_SAMPLE_AGE + BATCH_SPAN);
         self.totals.clear();
         for (service, used) in self.reporters.values().flat_map(|r| &r.services) {
             self.totals.entry(service.clone()).or_default().add(used);
         }
-        self.usual
+        self.mean_utilization
             .retain(|service, _| self.totals.contains_key(service));
-        self.rank();
+        self.rank_gateways();
     }
 
-    /// Ranks the gateways by requests per capacity.
-    fn rank(&mut self) {
+    /// Ranks the gateways by their requests relative to their capacity.
+    fn rank_gateways(&mut self) {
         let states = self.reporters.values().map(|reporter| &reporter.state);
         let open = states.filter(|state| takes_requests(state));
-        let mut roomy: Vec<GatewayState> = open.cloned().collect();
-        let count = roomy.len() as f64;
+        let mut available: Vec<GatewayState> = open.cloned().collect();
+        let count = available.len() as f64;
         let mean = |of: fn(&GatewayState) -> u32| {
-            roomy.iter().map(|state| f64::from(of(state))).sum::<f64>() / count
+            available
+                .iter()
+                .map(|state| f64::from(of(state)))
+                .sum::<f64>()
+                / count
         };
         let (link, cpu) = (mean(|state| state.link_mbps), mean(|state| state.cpu_milli));
         let load = |state: &GatewayState| {
@@ -338,45 +351,45 @@
             let cores = f64::from(state.cpu_milli) / cpu;
             (f64::from(state.requests) + 1.0) / links.min(cores)
         };
-        roomy.sort_by(|a, b| {
+        available.sort_by(|a, b| {
             load(a)
                 .total_cmp(&load(b))
                 .then_with(|| a.node.cmp(&b.node))
         });
-        self.roomy = roomy;
+        self.available = available;
     }
 }
 
-/// Returns whether a gateway has a use for requests of others.
+/// Returns whether a gateway can serve requests of other gateways.
 fn takes_requests(state: &GatewayState) -> bool {
     let has_capacity = state.link_mbps > 0 && state.cpu_milli > 0;
-    state.address.is_some() && has_capacity && state.late_ms < LATE_MS
+    state.address.is_some() && has_capacity && state.late_ms < MAX_LATE_MS
 }
 
-/// Returns what a gateway has at a service by its new report.
-fn use_after(now: Time, earlier: Option<&Reporter>, told: &ServiceUse) -> Used {
+/// Returns a gateway's use of a service after a new report.
+fn updated_use(now: Time, earlier: Option<&Reporter>, reported: &ServiceUse) -> ReportedUse {
     let counts = Counts {
-        running: told.running,
-        ended: told.ended,
-        shed: told.shed,
+        running: reported.running,
+        ended: reported.ended,
+        shed: reported.shed,
     };
-    let before = earlier.and_then(|earlier| {
-        let used = earlier.services.get(&told.service)?;
+    let rates = earlier.and_then(|earlier| {
+        let used = earlier.services.get(&reported.service)?;
         Some(
             used.rates
-                .next(&used.counts, &counts, now.since(earlier.at)),
+                .updated(&used.counts, &counts, now.since(earlier.at)),
         )
     });
-    Used {
+    ReportedUse {
         counts,
-        queued: told.queued,
-        rates: before.unwrap_or_default(),
+        queued: reported.queued,
+        rates: rates.unwrap_or_default(),
     }
 }
 
 fn utilization(load: &Load) -> f64 {
     let requests = f64::from(load.running) + f64::from(load.waiting);
-    (requests / f64::from(load.slots.max(1))).min(MOST_UTILIZATION)
+    (requests / f64::from(load.slots.max(1))).min(MAX_UTILIZATION)
 }
 
 fn saturate(count: u64) -> u32 {
--- a/lib/src/load_report.rs
+++ b/lib/src/load_report.rs
@@ -1,10 +1,10 @@
-//! What gateways tell keepers about load, and what keepers tell them back.
+//! Load reports that gateways send to keepers, and the keepers' answers.
 //!
-//! Every request passes through a gateway, so the sum of what gateways have
-//! under way is the load of a service. Each gateway alone hears from a server
-//! every few seconds; together they hear from each one many times a second.
-//! A gateway reports to the keepers in charge of load, a few times a second, and
-//! the answer holds what all others reported.
+//! Every request passes through a gateway, so the load of a service is the sum of
+//! the requests that all gateways have under way. A single gateway receives a
+//! server's load every few seconds; together they receive it many times a second.
+//! A gateway sends reports to the keepers in charge of load a few times a second,
+//! and the answer contains what all other gateways reported.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,43 +17,43 @@
 use crate::server::Load;
 use crate::time::Time;
 
-/// Names one start of a server in all processes.
+/// Identifies one start of a server, in all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerStart(pub u64);
 
-/// A gateway as a place for other gateways' callers.
+/// A gateway to which other gateways may hand over requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayState {
-    /// Its name.
+    /// Name of the gateway.
     pub node: Arc<str>,
     /// Its data centre.
     pub centre: Arc<str>,
-    /// Address at which it takes requests from other gateways; `None` if it
-    /// takes none.
+    /// Address at which it accepts requests from other gateways; `None` if it accepts
+    /// none.
     pub address: Option<SocketAddr>,
     /// Bandwidth of its link, in Mbit/s.
     pub link_mbps: u32,
     /// Processor time that it may use, in thousandths of a core.
     pub cpu_milli: u32,
-    /// How late it is with its work, in milliseconds.
+    /// Its lateness, in milliseconds.
     pub late_ms: u32,
     /// Requests under way.
     pub requests: u32,
 }
 
-/// What one gateway has under way at a service.
+/// The requests of one gateway for a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceUse {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Requests at its servers.
+    /// Requests at the service's servers.
     pub running: u32,
-    /// Requests that wait in the gateway for room.
+    /// Requests that are queued in the gateway because no server has room.
     pub queued: u32,
-    /// Requests that ended at its servers since the gateway's start, modulo
-    /// 2^32, so that a report that was lost does not change the rate.
+    /// Requests that ended at the servers since the gateway started, modulo 2^32. As
+    /// this is a running total, a lost report does not change the rate.
     pub ended: u32,
-    /// Requests that its servers refused for lack of room since then.
+    /// Requests that the servers refused for lack of room since the gateway started.
     pub shed: u32,
 }
 
@@ -62,80 +62,80 @@
 pub struct ServerSample {
     /// The server.
     pub start: ServerStart,
-    /// Its load.
+    /// The server's load.
     pub load: Load,
     /// Age of the sample, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a gateway reports.
+/// Load report of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The gateway.
     pub gateway: GatewayState,
-    /// Services that it uses.
+    /// Services that the gateway uses.
     pub services: Vec<ServiceUse>,
-    /// Servers that it heard from since its last report, the latest load of each.
+    /// Servers that sent their load since the last report, with the latest load.
     pub servers: Vec<ServerSample>,
-    /// Where parts of prompts were read for the first time since its last report.
+    /// Prompt parts that servers processed for the first time since the last report.
     pub places: Vec<Place>,
 }
 
-/// What all gateways have under way at a service.
+/// The requests of all gateways for a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Requests at its servers.
+    /// Requests at the service's servers.
     pub running: u32,
-    /// Requests that wait in gateways for room.
+    /// Requests that are queued in gateways because no server has room.
     pub queued: u32,
-    /// Requests that end at its servers, a second.
+    /// Requests per second that end at the servers.
     pub rate: f32,
-    /// Requests that its servers refuse for lack of room, a second.
+    /// Requests per second that the servers refuse for lack of room.
     pub shed_rate: f32,
-    /// Growth of the requests at its servers, a second.
+    /// Growth per second of the requests at the servers.
     pub growth: f32,
 }
 
-/// What a keeper answers to a report.
+/// A keeper's answer to a load report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadSummary {
-    /// Gateways that report, the asker included.
+    /// Number of gateways that send reports, including the receiver of this answer.
     pub reporters: u32,
-    /// Gateways that take requests from others, those with most room first.
+    /// Gateways that accept requests from others, those with most spare capacity
+    /// first.
     pub gateways: Vec<GatewayState>,
-    /// Services, without what the asker reported itself.
+    /// Services, excluding what the receiver reported itself.
     pub services: Vec<ServiceLoad>,
-    /// Servers that others heard from since the asker's last report.
+    /// Servers whose load others reported since the receiver's last report.
     pub servers: Vec<ServerSample>,
-    /// Where others had parts of prompts read since then.
+    /// Prompt parts that others reported since then.
     pub places: Vec<Place>,
 }
 
-/// The load of a service as one gateway knows it.
+/// Estimate by one gateway of the load of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceEstimate {
-    /// Requests that its servers run at once.
+    /// Number of requests that the service's servers run at once.
     pub slots: f64,
-    /// Requests at its servers, those of this gateway included.
+    /// Requests at the servers, including those of this gateway.
     pub running: f64,
-    /// Requests that wait in gateways.
+    /// Requests that are queued in gateways.
     pub queued: f64,
-    /// Requests that end at its servers, a second.
+    /// Requests per second that end at the servers.
     pub rate: f64,
-    /// Age of what is known of other gateways.
+    /// Age of the data about other gateways.
     pub age: Duration,
 }
 
 impl ServiceEstimate {
-    /// Returns the share of its slots that requests take; above one if some
-    /// wait.
+    /// Returns the ratio of requests to slots; above one if some requests wait.
     pub fn utilization(&self) -> f64 {
         (self.running + self.queued) / self.slots.max(1.0)
     }
 
-    /// Returns how long requests that come now wait for a slot.
+    /// Returns how long a new request would wait for a slot.
     pub fn wait(&self) -> Duration {
         let ahead = (self.running + self.queued - self.slots).max(0.0);
         if ahead == 0.0 || self.rate <= 0.0 {
@@ -145,12 +145,12 @@
     }
 }
 
-/// Longest wait that an estimate says: longer than any caller's patience.
+/// Upper bound of estimated waits: longer than the patience of any caller.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Tells how loaded services are.
+/// Estimates the load of services.
 pub trait ServiceLoads {
-    /// Returns what is known of a service; `None` if that is nothing, or too
-    /// old to decide by.
+    /// Returns the estimate for a service; `None` if there is no data, or only data
+    /// that is too old to base decisions on.
     fn estimate(&self, now: Time, service: &str) -> Option<ServiceEstimate>;
 }
--- a/lib/src/overload.rs
+++ b/lib/src/overload.rs
@@ -1,12 +1,15 @@
-//! Which programs begin while a service has more work than they have time for.
+//! Decides which programs to admit while a service has more work than the
+//! programs' time limits allow.
 //!
-//! A program is of use only whole and in its time, so a service is overloaded
-//! when its slots are taken, or when programs lose more of their time to others
-//! than they can spare, whichever comes first. The lost part is the delay of a
-//! request, times the requests that programs send in the time that they are
-//! given; no program has to be known beforehand. A gateway then begins as many
-//! programs as end there, somewhat more while there is room and less while too
-//! much waits. Programs that have begun go on.
+//! A program is useful only if it completes within its time limit. A service is
+//! therefore overloaded when all of its slots are taken, or when programs lose
+//! more time to waiting and slowdown than they can spare, whichever comes first.
+//! The lost share of the time is the delay of one request, times the requests
+//! that a program sends, divided by the program's time limit; it is an average
+//! over programs, so that nothing has to be known of a program in advance. Each
+//! gateway then admits programs at the rate at which they end there, slightly
+//! faster while there is spare capacity and slower while too much work waits.
+//! Programs that have begun are always continued.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,69 +21,73 @@
 use crate::load_shed::LoadShed;
 use crate::time::Time;
 
-/// Part of their time that programs may lose at full load: a caller that gives
-/// a program a third more than its time at idle servers can spare a quarter.
-const MOST_LOST: f64 = 0.25;
-/// Load from which on programs may be refused, and below which none is any
-/// more: from the first on requests wait, beneath the second there is room for
-/// what comes back.
-const FULL: f64 = 1.0;
-const ROOM: f64 = 0.85;
-/// Utilization below which time that programs lose is not lost to a lack of
-/// room: slow servers and long prompts cost time too.
-const LEAST_USED: f64 = 0.85;
-/// How much faster programs begin than end for each part of the load that is
-/// missing, and how much slower for each part that is too much.
+/// Largest share of their time that programs may lose at full load. A caller that
+/// allows a program a third more time than it takes at idle servers can spare a
+/// quarter of it.
+const MAX_LOST: f64 = 0.25;
+/// Loads between which the overloaded state has hysteresis: programs are refused
+/// from `ENTER_LOAD` on, where requests begin to wait, until the load is below
+/// `EXIT_LOAD`, where there is room for the retries of refused callers.
+const ENTER_LOAD: f64 = 1.0;
+const EXIT_LOAD: f64 = 0.85;
+/// Utilization below which the time that programs lose is not attributed to a
+/// lack of capacity: slow servers and long prompts cost time too.
+const MIN_UTILIZATION: f64 = 0.85;
+/// Gain of the control loop: relative change of the admission rate per unit of
+/// load below or above full load.
 const GAIN: f64 = 2.0;
-/// How fast the refused share may rise and fall, a second. It falls slower, so
-/// that gateways that hear the same do not all open at once.
-const RISE: f64 = 4.0;
-const FALL: f64 = 1.0;
-/// Time in which the counts of the present lose half of their weight: some
-/// turns, so that they are smooth and still follow a burst.
-const PRESENT: Duration = Duration::from_secs(1);
-/// Programs that are added to those offered and to those begun, so that a
-/// gateway that few come to refuses none on the word of one.
-const FEW: f64 = 1.0;
-/// How long an observation counts: an estimate is some tenths of a second old.
-const FRESH: Duration = Duration::from_secs(1);
-/// Time in which the counts that describe programs lose half of their weight:
-/// some lengths of a program.
-const HALF_LIFE: Duration = Duration::from_secs(20);
-/// Programs that have to be counted before any is refused: after a start all
-/// begin.
-const LEAST_COUNTED: f64 = 10.0;
-/// How long a service is remembered that nothing came for.
-const MEMORY: Duration = Duration::from_secs(60);
-/// Shortest and longest time after which a refused caller comes back: some
-/// requests end within the one, and the other leaves a program time to run.
-const SOONEST: Duration = Duration::from_millis(100);
-const LATEST: Duration = Duration::from_millis(1_500);
-/// A caller is asked to wait for this part of its time left at most, a third.
-const WAIT_PART: u32 = 3;
-/// Longest time that a service's work is taken to last.
-const LONGEST_DRAIN: Duration = Duration::from_secs(10);
-/// Spread of the times to come back around their mean, either way.
-const SPREAD: f64 = 0.3;
+/// Largest increase and decrease of the refused share per second. The decrease is
+/// slower, so that gateways that receive the same load reports do not all start
+/// to admit programs at once.
+const MAX_RISE: f64 = 4.0;
+const MAX_FALL: f64 = 1.0;
+/// Half-life of the counts of offered programs and ended turns: several turns, so
+/// that the counts are smooth and still follow a burst.
+const RECENT_HALF_LIFE: Duration = Duration::from_secs(1);
+/// Added to the counts of offered and of admitted programs, so that a gateway
+/// with few callers does not refuse programs because of a single sample.
+const SMOOTHING_COUNT: f64 = 1.0;
+/// Age at which an observation is ignored; estimates are some tenths of a second
+/// old.
+const MAX_AGE: Duration = Duration::from_secs(1);
+/// Half-life of the counts that describe the programs of a service: several times
+/// the duration of a program.
+const PROGRAM_HALF_LIFE: Duration = Duration::from_secs(20);
+/// Programs that have to be counted before any is refused: after a start all are
+/// admitted.
+const MIN_PROGRAMS: f64 = 10.0;
+/// Time without arrivals after which the state of a service is dropped.
+const SERVICE_RETENTION: Duration = Duration::from_secs(60);
+/// Bounds of the time after which a refused caller should retry: some requests
+/// end within the shorter one, and after the longer one a program still has time
+/// to run.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
+/// A caller is asked to wait for at most a third of the time that it has left.
+const PATIENCE_DIVISOR: u32 = 3;
+/// Upper bound of the estimated time to complete a service's work.
+const MAX_DRAIN: Duration = Duration::from_secs(10);
+/// Relative jitter of retry times, in either direction.
+const RETRY_JITTER: f64 = 0.3;
 
-/// What a service's load costs its requests.
+/// Congestion of a service: what its load costs a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Strain {
-    /// By how much a request that comes now takes longer than at idle servers.
+    /// How much longer a request takes now than at idle servers.
     pub delay: Duration,
-    /// Share of its slots that requests take; above one if some wait.
+    /// Ratio of requests to slots; above one if some requests wait.
     pub utilization: f64,
-    /// How long the service's work in hand takes.
+    /// Time to complete the service's current work.
     pub drain: Duration,
 }
 
 impl Strain {
-    /// Makes the strain of a service whose servers take so much longer for a
-    /// request than idle ones, beside its wait for them.
+    /// Computes the strain of a service. `slowdown` is how much longer than idle
+    /// servers its servers take for a request, not counting the wait for a slot.
     pub fn new(estimate: &ServiceEstimate, slowdown: Duration) -> Self {
         let work = estimate.running + estimate.queued;
         let drain = if estimate.rate > 0.0 {
-            (work / estimate.rate).min(LONGEST_DRAIN.as_secs_f64())
+            (work / estimate.rate).min(MAX_DRAIN.as_secs_f64())
         } else {
             0.0
         };
@@ -95,195 +102,203 @@
 /// A turn of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// Its program.
+    /// The turn's program.
     pub program: &'a Arc<str>,
-    /// Whether it names no turn that it continues from.
+    /// Whether the turn names no previous turn.
     pub first: bool,
-    /// Whether turns that continue name the one that they continue from, so
-    /// that a first one is surely a program's first.
+    /// Whether later turns always name their previous turn, so that a turn without
+    /// one is certainly the first of its program.
     pub linked: bool,
-    /// The service that it needs.
+    /// The service that the turn needs.
     pub service: &'a Arc<str>,
-    /// Its rank, 0 the highest.
+    /// Rank of the turn; 0 is served first.
     pub rank: u8,
-    /// Its workspace, if it has one.
+    /// The program's workspace, if there is one.
     pub workspace: Option<&'a Arc<str>>,
-    /// Time until its program should have ended.
+    /// Time until the program's deadline.
     pub remaining: Option<Duration>,
-    /// How long its caller waits for an answer.
+    /// How long the caller waits for an answer.
     pub patience: Duration,
 }
 
-/// Why a program is not begun, and when its caller is to come back.
+/// Why a program is not admitted, and after which time its caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// This gateway is behind; another one may not be.
+    /// This gateway is late with its work; another gateway may not be.
     Gateway(Duration),
-    /// The service has more work than programs have time for.
+    /// The service has more work than the programs' time limits allow.
     Service(Duration),
 }
 
-/// What is known of one service. All counts fade.
+/// State of one service. All counts decay over time.
 #[derive(Clone, Debug, Default)]
 struct ServiceState {
-    /// Programs that began.
+    /// Programs that were admitted.
     programs: f64,
-    /// Their turns.
+    /// Turns of these programs.
     turns: f64,
-    /// Time that they were given, in seconds.
-    given: f64,
-    /// Programs that wanted to begin just now.
+    /// Sum of the programs' time limits, in seconds.
+    allotted: f64,
+    /// Programs that recently asked to begin.
     offered: f64,
-    /// Turns that ended just now.
+    /// Turns that recently ended.
     ended: f64,
-    /// Until when the counts have faded.
-    faded: Time,
+    /// When the counts were last decayed.
+    decayed_at: Time,
     arrivals: Arrivals,
     strain: Option<Strain>,
-    /// Share of the programs that is refused.
-    refused: f64,
+    /// Share of new programs that is refused.
+    refused_share: f64,
     overloaded: bool,
-    /// When the strain was last told.
-    observed: Time,
-    /// When a turn last came.
-    arrived: Time,
+    /// When the strain was last updated.
+    observed_at: Time,
+    /// When the latest turn arrived.
+    last_arrival: Time,
 }
 
 impl ServiceState {
-    fn fade(&mut self, now: Time) {
-        let passed = now.since(self.faded).as_secs_f64();
+    fn decay(&mut self, now: Time) {
+        let passed = now.since(self.decayed_at).as_secs_f64();
         let left = |half: Duration| (-passed / half.as_secs_f64()).exp2();
-        self.faded = now;
-        self.offered *= left(PRESENT);
-        self.ended *= left(PRESENT);
-        let left = left(HALF_LIFE);
+        self.decayed_at = now;
+        self.offered *= left(RECENT_HALF_LIFE);
+        self.ended *= left(RECENT_HALF_LIFE);
+        let left = left(PROGRAM_HALF_LIFE);
         self.programs *= left;
         self.turns *= left;
-        self.given *= left;
+        self.allotted *= left;
     }
 
-    /// Returns which part of their time programs lose at the servers.
-    fn lost(&self) -> f64 {
-        let Some(strain) = self.strain.filter(|_| self.given > 0.0) else {
+    /// Returns the share of their time that programs lose at the servers.
+    fn lost_share(&self) -> f64 {
+        let Some(strain) = self.strain.filter(|_| self.allotted > 0.0) else {
             return 0.0;
         };
-        strain.delay.as_secs_f64() * self.turns.max(self.programs) / self.given
+        strain.delay.as_secs_f64() * self.turns.max(self.programs) / self.allotted
     }
 
-    /// Returns the load, one being all that programs have time for.
+    /// Returns the load; one is what the programs' time limits allow.
     fn load(&self) -> f64 {
         let utilization = self.strain.map_or(0.0, |strain| strain.utilization);
-        if utilization < LEAST_USED {
+        if utilization < MIN_UTILIZATION {
             return utilization;
         }
-        utilization.max(self.lost() / MOST_LOST)
+        utilization.max(self.lost_share() / MAX_LOST)
     }
 
-    /// Returns the share of programs to refuse, so that as many begin as end,
-    /// and more or less of them while there is room or too much to do.
+    /// Returns the share of new programs to refuse. At full load as many programs
+    /// are admitted as end, at lower load more and at higher load fewer.
     fn target(&self) -> f64 {
         let load = self.load();
-        let from = if self.overloaded { ROOM } else { FULL };
-        if load < from || self.programs < LEAST_COUNTED {
+        let from = if self.overloaded {
+            EXIT_LOAD
+        } else {
+            ENTER_LOAD
+        };
+        if load < from || self.programs < MIN_PROGRAMS {
             return 0.0;
         }
         let turns = (self.turns / self.programs).max(1.0);
         let ending = self.ended / turns;
         let begin = ending * (1.0 + GAIN * (1.0 - load)).max(0.0);
-        (1.0 - (begin + FEW) / (self.offered + FEW)).clamp(0.0, 1.0)
+        (1.0 - (begin + SMOOTHING_COUNT) / (self.offered + SMOOTHING_COUNT)).clamp(0.0, 1.0)
     }
 
     fn observe(&mut self, now: Time, strain: Option<Strain>) {
-        self.fade(now);
-        let passed = now.since(self.observed).min(FRESH).as_secs_f64();
-        self.observed = now;
+        self.decay(now);
+        let passed = now.since(self.observed_at).min(MAX_AGE).as_secs_f64();
+        self.observed_at = now;
         self.strain = strain;
         if strain.is_none() {
-            self.refused = 0.0;
+            self.refused_share = 0.0;
             self.overloaded = false;
             return;
         }
         let target = self.target();
-        self.refused = if target > self.refused {
-            target.min(self.refused + RISE * passed)
+        self.refused_share = if target > self.refused_share {
+            target.min(self.refused_share + MAX_RISE * passed)
         } else {
-            target.max(self.refused - FALL * passed)
+            target.max(self.refused_share - MAX_FALL * passed)
         };
-        self.overloaded = self.refused > 0.0;
+        self.overloaded = self.refused_share > 0.0;
     }
 
-    fn refused(&self, now: Time) -> f64 {
-        if now.since(self.observed) > FRESH {
+    fn current_refused_share(&self, now: Time) -> f64 {
+        if now.since(self.observed_at) > MAX_AGE {
             return 0.0;
         }
-        self.refused
+        self.refused_share
     }
 
-    /// Counts a program that wants to begin, and returns which part of its kind
-    /// is refused.
-    fn offered(&mut self, now: Time, arrival: &Arrival<'_>) -> f64 {
+    /// Counts a program that asks to begin, and returns the refused share of its
+    /// class.
+    fn count_offered(&mut self, now: Time, arrival: &Arrival<'_>) -> f64 {
         self.offered += 1.0;
-        let class = self.arrivals.observe(now, arrival.rank, arrival.workspace);
-        self.arrivals.refused(class, self.refused(now))
+        let class = self.arrivals.count(now, arrival.rank, arrival.workspace);
+        self.arrivals
+            .refused_share(class, self.current_refused_share(now))
     }
 
-    /// Counts a turn that was taken.
-    fn count(&mut self, begins: bool, remaining: Option<Duration>) {
+    /// Counts an admitted turn.
+    fn count_admitted(&mut self, begins: bool, remaining: Option<Duration>) {
         let Some(remaining) = remaining else {
             return;
         };
         self.turns += 1.0;
         if begins {
             self.programs += 1.0;
-            self.given += remaining.as_secs_f64();
+            self.allotted += remaining.as_secs_f64();
         }
     }
 
-    /// Returns when a refused caller is to come back: when as much of the
-    /// service's work is done as there is too much of it.
-    fn come_back(&self, arrival: &Arrival<'_>, draw: f64) -> Duration {
+    /// Returns after which time a refused caller should retry: when the service has
+    /// completed its excess work.
+    fn retry_after(&self, arrival: &Arrival<'_>, draw: f64) -> Duration {
         let drain = self.strain.map_or(Duration::ZERO, |strain| strain.drain);
-        let excess = drain.mul_f64(self.refused).clamp(SOONEST, LATEST);
-        let spread = 1.0 + SPREAD * (2.0 * draw - 1.0);
+        let excess = drain
+            .mul_f64(self.refused_share)
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        let spread = 1.0 + RETRY_JITTER * (2.0 * draw - 1.0);
         let left = arrival.remaining.unwrap_or(Duration::MAX);
-        let most = left.min(arrival.patience) / WAIT_PART;
+        let most = left.min(arrival.patience) / PATIENCE_DIVISOR;
         excess.mul_f64(spread).min(most)
     }
 }
 
-/// How a service does, for operators.
+/// Admission state of a service, for log lines and metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct State {
     /// Whether programs are refused.
     pub overloaded: bool,
-    /// Part of their time that programs lose at the servers.
+    /// Share of their time that programs lose at the servers.
     pub lost: f64,
-    /// Load, one being all that programs have time for.
+    /// Load; one is what the programs' time limits allow.
     pub load: f64,
-    /// Share of programs that begin.
+    /// Share of new programs that is admitted.
     pub admitted: f64,
 }
 
-/// Decides which programs begin.
+/// Admission control of programs by the load of services.
 #[derive(Clone, Debug, Default)]
 pub struct Overload {
     services: HashMap<Arc<str>, ServiceState>,
 }
 
 impl Overload {
-    /// Returns the services that programs came for lately.
+    /// Returns the services for which turns arrived recently.
     pub fn services(&self) -> impl Iterator<Item = &Arc<str>> {
         self.services.keys()
     }
 
-    /// Forgets services that no program came for.
+    /// Drops services for which no turn arrived recently.
     pub fn expire(&mut self, now: Time) {
         self.services
-            .retain(|_, state| now.since(state.arrived) < MEMORY);
+            .retain(|_, state| now.since(state.last_arrival) < SERVICE_RETENTION);
     }
 
-    /// Takes the strain of a service, `None` if it is not known. Returns how
-    /// the service does, and whether that has changed.
+    /// Updates the strain of a service, `None` if it is unknown. Returns the
+    /// service's state, and whether it became overloaded or ceased to be; `None` for
+    /// a service without recent turns.
     pub fn observe(
         &mut self,
         now: Time,
@@ -295,16 +310,16 @@
         state.observe(now, strain);
         let shown = State {
             overloaded: state.overloaded,
-            lost: state.lost(),
+            lost: state.lost_share(),
             load: state.load(),
-            admitted: 1.0 - state.refused,
+            admitted: 1.0 - state.refused_share,
         };
         Some((shown, before != state.overloaded))
     }
 
-    /// Takes a turn, or says why its program is not begun. The gateway's
-    /// lateness and the service's load each say which share is refused, and
-    /// the larger one counts. `draw` is a number from 0 up to 1.
+    /// Admits a turn, or refuses its program. The gateway's lateness and the
+    /// service's load each determine a refused share, of which the larger applies.
+    /// `draw` is a random number from 0 up to 1.
     ///
     /// # Errors
     ///
@@ -317,39 +332,39 @@
         draw: f64,
     ) -> Result<(), Refused> {
         let state = self.service(now, arrival.service);
-        let begins = arrival.first && !shed.knows(arrival.program);
+        let begins = arrival.first && !shed.has_begun(arrival.program);
         let loaded = if begins && arrival.linked {
-            state.offered(now, arrival)
+            state.count_offered(now, arrival)
         } else {
             0.0
         };
-        let late = if begins { shed.share() } else { 0.0 };
+        let late = if begins { shed.refused_share() } else { 0.0 };
         if draw < loaded.max(late) {
             return Err(if loaded >= late {
-                Refused::Service(state.come_back(arrival, draw / loaded))
+                Refused::Service(state.retry_after(arrival, draw / loaded))
             } else {
-                Refused::Gateway(load_shed::COME_BACK)
+                Refused::Gateway(load_shed::RETRY_AFTER)
             });
         }
-        shed.remember(arrival.program);
+        shed.note_begun(arrival.program);
         if arrival.linked {
-            state.count(begins, arrival.remaining);
+            state.count_admitted(begins, arrival.remaining);
         }
         Ok(())
     }
 
-    /// Notes that a turn of a program ended.
+    /// Counts a turn that ended.
     pub fn ended(&mut self, now: Time, service: &str) {
         if let Some(state) = self.services.get_mut(service) {
-            state.fade(now);
+            state.decay(now);
             state.ended += 1.0;
         }
     }
 
     fn service(&mut self, now: Time, service: &Arc<str>) -> &mut ServiceState {
         let state = self.services.entry(service.clone()).or_default();
-        state.arrived = now;
-        state.fade(now);
+        state.last_arrival = now;
+        state.decay(now);
         state
     }
 }
--- a/lib/src/report_times.rs
+++ b/lib/src/report_times.rs
@@ -1,36 +1,36 @@
-//! When a gateway reports its load.
+//! Schedule of a gateway's load reports.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time between reports of a gateway with requests. What it decides by is as
-/// old as its latest answer and half as old again: a load that grows by half
-/// within 300 ms is still known to a fifth.
-const REPORT_EVERY: Duration = Duration::from_millis(100);
-/// Time between reports to the keeper that stands in: its answers are read
-/// only while the one in charge is being missed.
-const STAND_IN_EVERY: Duration = Duration::from_millis(200);
-/// Time between reports of a gateway without requests: its estimate does not
-/// age out in between, also if it is late.
-const IDLE_EVERY: Duration = Duration::from_millis(600);
-/// Time between any two reports at a keeper: of more than a hundred gateways,
-/// each reports less often.
-const KEEPER_EVERY: Duration = Duration::from_millis(1);
-/// Longest time between reports of a gateway with requests: two of them lie
-/// within the age at which an estimate is no longer used.
-const LONGEST_EVERY: Duration = Duration::from_millis(450);
+/// Time between reports of a gateway with requests. Decisions use data that is as
+/// old as the latest answer plus half of this interval: even if the load grows by
+/// half within 300 ms, the estimate is at most a fifth off.
+const BUSY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between reports to the standby keeper, whose answers are only used while
+/// the keeper in charge is unreachable.
+const STANDBY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between reports of a gateway without requests: short enough that its
+/// estimate doesn't become too old in between, even if the gateway is late.
+const IDLE_INTERVAL: Duration = Duration::from_millis(600);
+/// Average time between reports at a keeper: with more than a hundred gateways,
+/// each gateway reports less often.
+const INTERVAL_PER_REPORTER: Duration = Duration::from_millis(1);
+/// Longest time between reports of a gateway with requests: two of them fit into
+/// the age at which an estimate is no longer used.
+const MAX_BUSY_INTERVAL: Duration = Duration::from_millis(450);
 
-/// Which of the keepers that hear of load it is.
+/// Role of a keeper that receives load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duty {
-    /// The one in charge.
+    /// In charge of load.
     First,
-    /// The one that stands in for it.
+    /// Standby for the keeper in charge.
     Second,
 }
 
-/// When a gateway reported to a keeper last.
+/// When a gateway last reported to a keeper.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportTimes {
     last: Option<Time>,
@@ -38,30 +38,30 @@
 }
 
 impl ReportTimes {
-    /// Returns whether a report is due of a gateway that has requests or is not
-    /// `busy`, where so many gateways report.
+    /// Returns whether a report is due. `busy` is whether the gateway has requests,
+    /// and `reporters` the number of gateways that report.
     pub fn is_due(&self, now: Time, duty: Duty, busy: bool, reporters: u32) -> bool {
         let Some(last) = self.last else {
             return true;
         };
-        let least = match duty {
-            Duty::First => REPORT_EVERY,
-            Duty::Second => STAND_IN_EVERY,
+        let min_interval = match duty {
+            Duty::First => BUSY_INTERVAL,
+            Duty::Second => STANDBY_INTERVAL,
         };
-        let every = if busy || self.was_busy {
-            (KEEPER_EVERY * reporters).clamp(least, LONGEST_EVERY)
+        let interval = if busy || self.was_busy {
+            (INTERVAL_PER_REPORTER * reporters).clamp(min_interval, MAX_BUSY_INTERVAL)
         } else {
-            IDLE_EVERY
+            IDLE_INTERVAL
         };
-        now.since(last) >= every
+        now.since(last) >= interval
     }
 
-    /// Returns when the last report went.
+    /// Returns when the last report was sent.
     pub fn last(&self) -> Option<Time> {
         self.last
     }
 
-    /// Notes a report.
+    /// Records that a report is sent.
     pub fn note(&mut self, now: Time, busy: bool) {
         self.last = Some(now);
         self.was_busy = busy;
--- a/lib/src/request_rates.rs
+++ b/lib/src/request_rates.rs
@@ -1,63 +1,76 @@
-//! How many requests end a second, and how fast their number grows, from counts
-//! at two times.
+//! Rates at which requests end and at which their number grows, computed from
+//! counters at two times.
 
 use std::time::Duration;
 
-/// Time in which a change of a rate is there by two thirds: a burst is seen
-/// while it rises, and single requests are not taken for one.
-const RATE_TIME: Duration = Duration::from_millis(400);
-/// The same for growth: a burst is there within a second.
-const GROWTH_TIME: Duration = Duration::from_millis(200);
-/// Least time between two counts that say something of rates.
-const LEAST_GAP: Duration = Duration::from_millis(20);
+/// Time constant of the averages of rates, within which a change takes effect by
+/// two thirds: a burst is noticed while it rises, and single requests are not
+/// taken for one.
+const RATE_TIME_CONSTANT: Duration = Duration::from_millis(400);
+/// Time constant of the average growth: a burst is noticed within a second.
+const GROWTH_TIME_CONSTANT: Duration = Duration::from_millis(200);
+/// Shortest time between two counts for which rates are meaningful.
+const MIN_GAP: Duration = Duration::from_millis(20);
 
-/// What one process has under way at a service, and has had since its start.
+/// Requests of one process at a service: under way, and totals since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests at its servers.
+    /// Requests at the service's servers.
     pub running: u32,
-    /// Requests that ended there since the process's start, modulo 2^32.
+    /// Requests that ended there since the process started, modulo 2^32.
     pub ended: u32,
     /// Requests refused there for lack of room since then, modulo 2^32.
     pub shed: u32,
 }
 
-/// Changes a second, as means that forget quickly.
+/// Changes per second, as exponential moving averages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestRates {
     /// Requests that end.
     pub rate: f64,
     /// Requests that are refused for lack of room.
     pub shed_rate: f64,
-    /// Growth of the requests under way.
+    /// Growth of the number of requests under way.
     pub growth: f64,
     known: bool,
 }
 
 impl RequestRates {
-    /// Returns the rates after counts went from `before` to `counts` within `gap`.
-    pub fn next(&self, before: &Counts, counts: &Counts, gap: Duration) -> Self {
-        let gap = gap.max(LEAST_GAP).as_secs_f64();
+    /// Returns the rates after the counts changed from `before` to `counts` in `gap`.
+    pub fn updated(&self, before: &Counts, counts: &Counts, gap: Duration) -> Self {
+        let gap = gap.max(MIN_GAP).as_secs_f64();
         let weight = |time: Duration| 1.0 - (-gap / time.as_secs_f64()).exp();
-        let rate = if self.known { weight(RATE_TIME) } else { 1.0 };
-        let toward = |old: f64, new: f64, weight: f64| old + (new - old) * weight;
-        let grown = f64::from(counts.running) - f64::from(before.running);
+        let rate = if self.known {
+            weight(RATE_TIME_CONSTANT)
+        } else {
+            1.0
+        };
+        let average = |old: f64, new: f64, weight: f64| old + (new - old) * weight;
+        let delta = f64::from(counts.running) - f64::from(before.running);
         Self {
-            rate: toward(self.rate, since(before.ended, counts.ended) / gap, rate),
-            shed_rate: toward(self.shed_rate, since(before.shed, counts.shed) / gap, rate),
-            growth: toward(self.growth, grown / gap, weight(GROWTH_TIME)),
+            rate: average(
+                self.rate,
+                counter_increase(before.ended, counts.ended) / gap,
+                rate,
+            ),
+            shed_rate: average(
+                self.shed_rate,
+                counter_increase(before.shed, counts.shed) / gap,
+                rate,
+            ),
+            growth: average(self.growth, delta / gap, weight(GROWTH_TIME_CONSTANT)),
             known: true,
         }
     }
 
-    /// Adds another process's flow.
+    /// Adds the rates of another process.
     pub fn add(&mut self, other: &Self) {
         self.rate += other.rate;
         self.shed_rate += other.shed_rate;
         self.growth += other.growth;
     }
 
-    /// Takes another process's flow away again.
+    /// Subtracts the rates of another process.
     pub fn subtract(&mut self, other: &Self) {
         self.rate -= other.rate;
         self.shed_rate -= other.shed_rate;
@@ -65,11 +78,11 @@
     }
 }
 
-/// Returns how far a count has gone; one that went back has not.
-fn since(before: u32, now: u32) -> f64 {
-    let gone = now.wrapping_sub(before);
-    if gone > u32::MAX / 2 {
+/// Returns the increase of a counter; zero if the counter has decreased.
+fn counter_increase(before: u32, now: u32) -> f64 {
+    let increase = now.wrapping_sub(before);
+    if increase > u32::MAX / 2 {
         return 0.0;
     }
-    f64::from(gone)
+    f64::from(increase)
 }
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -1,9 +1,9 @@
-//! How many requests may be tried at a further server.
+//! Retry budget: how many requests may be retried at another server.
 //!
-//! A try at another server after a failure helps if one server fails, and
-//! doubles the load if all do. So further tries are a share of the answers
-//! that the service gave lately, and a few a second beyond it, so that a
-//! gateway with little to do can try again too.
+//! A retry at another server after a failure helps if one server fails, and
+//! doubles the load if all of them do. Retries are therefore limited to a share
+//! of the answers that the service gave recently. A small rate is granted in
+//! addition, so that a gateway with few requests can retry too.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,69 +11,68 @@
 
 use crate::time::Time;
 
-/// Further tries that each answer pays for: one server of ten that fails is
-/// borne, with some to spare.
-const EACH_ANSWER: f64 = 0.2;
-/// Further tries a second that need no answers.
-const LEAST_RATE: f64 = 0.5;
-/// Most tries that are saved up: what one server of ten has under way when it
-/// breaks.
-const MOST_SAVED: f64 = 20.0;
-/// How long a service is remembered that nothing was heard of.
-const MEMORY: Duration = Duration::from_secs(60);
+/// Retries that each answer pays for: enough for one failing server of ten, with
+/// some margin.
+const RETRIES_PER_ANSWER: f64 = 0.2;
+/// Retries per second that are granted without answers.
+const MIN_RETRIES_PER_S: f64 = 0.5;
+/// Capacity of the budget: the requests that are under way at one server of ten
+/// when it breaks.
+const MAX_RETRIES: f64 = 20.0;
+/// Time without requests after which the budget of a service is dropped.
+const SERVICE_RETENTION: Duration = Duration::from_secs(60);
 
-/// What one service's answers paid for.
+/// Token bucket of one service; each token pays for a retry.
 #[derive(Clone, Copy, Debug)]
-struct Saved {
-    at: Time,
-    tries: f64,
+struct Bucket {
+    refilled_at: Time,
+    retries: f64,
 }
 
-impl Saved {
+impl Bucket {
     fn refill(&mut self, now: Time) {
-        let earned = now.since(self.at).as_secs_f64() * LEAST_RATE;
-        self.tries = (self.tries + earned).min(MOST_SAVED);
-        self.at = now;
+        let earned = now.since(self.refilled_at).as_secs_f64() * MIN_RETRIES_PER_S;
+        self.retries = (self.retries + earned).min(MAX_RETRIES);
+        self.refilled_at = now;
     }
 }
 
-/// The further tries that each service's requests may still take.
+/// The retries that are left to the requests of each service.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    services: HashMap<Arc<str>, Saved>,
+    services: HashMap<Arc<str>, Bucket>,
 }
 
 impl RetryBudget {
-    /// Notes that a server of the service answered a request.
+    /// Adds to the budget of a service, as one of its servers answered a request.
     pub fn answered(&mut self, now: Time, service: &Arc<str>) {
-        let saved = self.saved(now, service);
-        saved.tries = (saved.tries + EACH_ANSWER).min(MOST_SAVED);
+        let bucket = self.bucket(now, service);
+        bucket.retries = (bucket.retries + RETRIES_PER_ANSWER).min(MAX_RETRIES);
     }
 
-    /// Takes a further try of a request; returns whether there was one left.
+    /// Takes one retry from the budget of a service; returns whether any was left.
     pub fn take(&mut self, now: Time, service: &Arc<str>) -> bool {
-        let saved = self.saved(now, service);
-        let left = saved.tries >= 1.0;
+        let bucket = self.bucket(now, service);
+        let left = bucket.retries >= 1.0;
         if left {
-            saved.tries -= 1.0;
+            bucket.retries -= 1.0;
         }
         left
     }
 
-    /// Returns what the service's requests may take. One that is new begins
-    /// with all that can be saved: its first failures are those of servers
-    /// that are about to come.
-    fn saved(&mut self, now: Time, service: &Arc<str>) -> &mut Saved {
+    /// Returns the refilled bucket of a service. A new service starts with a full
+    /// budget: its first failures are those of servers that are still starting.
+    fn bucket(&mut self, now: Time, service: &Arc<str>) -> &mut Bucket {
         if !self.services.contains_key(service) {
             self.services
-                .retain(|_, saved| now.since(saved.at) < MEMORY);
+                .retain(|_, bucket| now.since(bucket.refilled_at) < SERVICE_RETENTION);
         }
-        let full = Saved {
-            at: now,
-            tries: MOST_SAVED,
+        let full = Bucket {
+            refilled_at: now,
+            retries: MAX_RETRIES,
         };
-        let saved = self.services.entry(service.clone()).or_insert(full);
-        saved.refill(now);
-        saved
+        let bucket = self.services.entry(service.clone()).or_insert(full);
+        bucket.refill(now);
+        bucket
     }
 }
--- a/lib/src/service_loads.rs
+++ b/lib/src/service_loads.rs
@@ -1,5 +1,5 @@
-//! How loaded services are, as one gateway knows it: by its own requests, and by
-//! what keepers say of those of others.
+//! Load of the services as one gateway knows it: from its own requests, and from
+//! the keepers' answers about the requests of other gateways.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,32 +16,33 @@
 use crate::request_rates::RequestRates;
 use crate::time::Time;
 
-/// Age at which nothing is decided any more by what others reported: a burst
-/// has come or gone within it.
-const OLDEST: Duration = Duration::from_secs(1);
-/// Mean age of the reports that an answer sums up: half of the time between
+/// Age from which on data about other gateways is ignored: a burst can begin or
+/// end within it.
+const MAX_AGE: Duration = Duration::from_secs(1);
+/// Mean age of the reports that an answer summarizes: half of the time between
 /// two reports.
-const SUMMED_AGE: Duration = Duration::from_millis(50);
-/// Part of the requests of others by which their growth since the answer
-/// counts at most.
-const MOST_GROWTH: f64 = 0.5;
-/// Part of the gateways that another keeper hears from below which a keeper has
-/// just started or is cut off, and what it says does not count.
-const FEWER: f64 = 0.75;
-
-/// What this process has at a service.
+const MEAN_REPORT_AGE: Duration = Duration::from_millis(50);
+/// Limit of the estimated growth of the requests of other gateways since the
+/// answer, relative to these requests.
+const MAX_GROWTH: f64 = 0.5;
+/// If a keeper receives reports from less than this share of the gateways that
+/// another keeper receives them from, it has just started or is cut off, and its
+/// answers are ignored.
+const MIN_REPORTER_SHARE: f64 = 0.75;
+
+/// The requests of this process at one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnUse {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Requests that its servers run at once.
+    /// Number of requests that the service's servers run at once.
     pub slots: u32,
     /// Requests of this process.
     pub counts: Counts,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Own {
+struct OwnLoad {
     slots: u32,
     counts: Counts,
     rates: RequestRates,
@@ -49,15 +50,15 @@
 
 #[derive(Clone, Debug)]
 struct Answer {
-    /// When it was asked for.
-    asked: Time,
+    /// When the request for the answer was sent.
+    requested_at: Time,
     summary: LoadSummary,
 }
 
-/// The loads of services.
+/// Known load of the services.
 #[derive(Clone, Debug, Default)]
 pub struct KnownLoads {
-    own: BTreeMap<Arc<str>, Own>,
+    own: BTreeMap<Arc<str>, OwnLoad>,
     own_at: Time,
     queued: HashMap<Arc<str>, u32>,
     /// The latest answer of each keeper.
@@ -65,7 +66,7 @@
 }
 
 impl KnownLoads {
-    /// Takes what this process has at services now.
+    /// Updates the requests of this process at the services.
     pub fn set_own(&mut self, now: Time, uses: impl IntoIterator<Item = OwnUse>) {
         let gap = now.since(std::mem::replace(&mut self.own_at, now));
         let before = std::mem::take(&mut self.own);
@@ -76,11 +77,11 @@
         } in uses
         {
             let earlier = before.get(&service);
-            let rates = earlier.map(|own| own.rates.next(&own.counts, &counts, gap));
+            let rates = earlier.map(|own| own.rates.updated(&own.counts, &counts, gap));
             let rates = rates.unwrap_or_default();
             self.own.insert(
                 service,
-                Own {
+                OwnLoad {
                     slots,
                     counts,
                     rates,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Takes how many requests for a service wait in this process for room.
+    /// Updates how many requests for a service are queued in this process.
     pub fn set_queued(&mut self, service: &Arc<str>, count: u32) {
         if count == 0 {
             self.queued.remove(service);
@@ -98,18 +99,18 @@
         }
     }
 
-    /// Takes that no requests wait in this process for room.
+    /// Records that no requests are queued in this process.
     pub fn clear_queued(&mut self) {
         self.queued.clear();
     }
 
-    /// Returns how many requests for a service wait in this process for room.
+    /// Returns how many requests for a service are queued in this process.
     pub fn queued(&self, service: &str) -> u32 {
         self.queued.get(service).copied().unwrap_or(0)
     }
 
-    /// Returns what this process reports of services: those that it has used
-    /// since its start.
+    /// Returns the services that this process reports: those that it has used since
+    /// its start.
     pub fn uses(&self) -> Vec<ServiceUse> {
         let all = self.own.iter().map(|(service, own)| ServiceUse {
             service: service.clone(),
@@ -118,64 +119,71 @@
             ended: own.counts.ended,
             shed: own.counts.shed,
         });
-        let used = |told: &ServiceUse| {
-            let counts = [told.running, told.queued, told.ended, told.shed];
+        let used = |reported: &ServiceUse| {
+            let counts = [
+                reported.running,
+                reported.queued,
+                reported.ended,
+                reported.shed,
+            ];
             counts.iter().any(|&count| count > 0)
         };
         all.filter(used).collect()
     }
 
-    /// Returns the requests of this process that are under way or wait.
+    /// Returns the number of requests of this process, under way or queued.
     pub fn requests(&self) -> u32 {
         let running = self.own.values().map(|own| own.counts.running);
         let all = running.chain(self.queued.values().copied());
         all.fold(0, u32::saturating_add)
     }
 
-    /// Takes a keeper's answer to the report that went at `asked`.
-    pub fn hear(&mut self, keeper: &Arc<str>, asked: Time, summary: LoadSummary) {
+    /// Applies a keeper's answer to the report that was sent at `requested_at`.
+    pub fn hear(&mut self, keeper: &Arc<str>, requested_at: Time, summary: LoadSummary) {
         let known = self.answers.get(keeper);
-        if known.is_none_or(|known| known.asked <= asked) {
+        if known.is_none_or(|known| known.requested_at <= requested_at) {
             self.answers
-                .retain(|_, answer| asked.since(answer.asked) < OLDEST);
-            let answer = Answer { asked, summary };
+                .retain(|_, answer| requested_at.since(answer.requested_at) < MAX_AGE);
+            let answer = Answer {
+                requested_at,
+                summary,
+            };
             self.answers.insert(keeper.clone(), answer);
         }
     }
 
-    /// Returns the latest answer of a keeper that hears from as many gateways
-    /// as others do; `None` if all are too old.
+    /// Returns the latest answer of a keeper that receives reports from about as many
+    /// gateways as the others; `None` if all answers are too old.
     fn latest(&self, now: Time) -> Option<&Answer> {
         let fresh = || {
             let answers = self.answers.values();
-            answers.filter(|answer| now.since(answer.asked) < OLDEST)
+            answers.filter(|answer| now.since(answer.requested_at) < MAX_AGE)
         };
         let most = fresh().map(|answer| answer.summary.reporters).max()?;
-        let least = f64::from(most) * FEWER;
-        let whole = fresh().filter(|answer| f64::from(answer.summary.reporters) >= least);
-        whole.max_by_key(|answer| (answer.asked, answer.summary.reporters))
+        let least = f64::from(most) * MIN_REPORTER_SHARE;
+        let complete = fresh().filter(|answer| f64::from(answer.summary.reporters) >= least);
+        complete.max_by_key(|answer| (answer.requested_at, answer.summary.reporters))
     }
 
-    /// Returns the age of what is known of other gateways; `None` if it is too
-    /// old.
+    /// Returns the age of the data about other gateways; `None` if it is too old.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        Some(now.since(self.latest(now)?.asked))
+        Some(now.since(self.latest(now)?.requested_at))
     }
 
-    /// Returns how many gateways report, this one included.
+    /// Returns how many gateways send reports, including this one.
     pub fn reporters(&self, now: Time) -> u32 {
         self.latest(now)
             .map_or(0, |answer| answer.summary.reporters)
     }
 
-    /// Returns the other gateways that take requests, those with most room
-    /// first; none if what is known of them is too old.
+    /// Returns the other gateways that accept requests, those with most spare
+    /// capacity first; none if the data about them is too old.
     pub fn gateways(&self, now: Time) -> Vec<GatewayState> {
         let latest = self.latest(now);
         latest.map_or_else(Vec::new, |answer| answer.summary.gateways.clone())
     }
 
-    /// Returns what is known of each service that has servers.
+    /// Returns the estimates of all services that have servers.
     pub fn estimates(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, ServiceEstimate)> {
         let services = self.own.keys();
         services.filter_map(move |service| Some((service, self.estimate(now, service)?)))
@@ -186,12 +194,13 @@
     fn estimate(&self, now: Time, service: &str) -> Option<ServiceEstimate> {
         let own = self.own.get(service)?;
         let answer = self.latest(now)?;
-        let age = now.since(answer.asked);
+        let age = now.since(answer.requested_at);
         let mut services = answer.summary.services.iter();
         let others = services.find(|load| &*load.service == service);
         Some(ServiceEstimate {
             slots: f64::from(own.slots),
-            running: f64::from(own.counts.running) + others.map_or(0.0, |load| grown(load, age)),
+            running: f64::from(own.counts.running)
+                + others.map_or(0.0, |load| extrapolated_running(load, age)),
             queued: f64::from(self.queued(service))
                 + others.map_or(0.0, |load| f64::from(load.queued)),
             rate: own.rates.rate + others.map_or(0.0, |load| f64::from(load.rate)),
@@ -200,11 +209,11 @@
     }
 }
 
-/// Returns the requests of others now, so long after they were asked for.
-fn grown(load: &ServiceLoad, age: Duration) -> f64 {
+/// Extrapolates the requests of other gateways by their growth since the answer.
+fn extrapolated_running(load: &ServiceLoad, age: Duration) -> f64 {
     let running = f64::from(load.running);
-    let growth = f64::from(load.growth) * (age + SUMMED_AGE).as_secs_f64();
-    let most = running * MOST_GROWTH;
+    let growth = f64::from(load.growth) * (age + MEAN_REPORT_AGE).as_secs_f64();
+    let most = running * MAX_GROWTH;
     if !growth.is_finite() {
         return running;
     }
