--- a/lib/src/overload.rs
+++ b/lib/src/overload.rs
@@ -267,7 +267,7 @@
 
 /// Admission state of a service, for log lines and metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct State {
+pub struct OverloadState {
     /// Whether programs are refused.
     pub overloaded: bool,
     /// Share of their time that programs lose at the servers.
@@ -304,11 +304,11 @@
         now: Time,
         service: &str,
         strain: Option<Strain>,
-    ) -> Option<(State, bool)> {
+    ) -> Option<(OverloadState, bool)> {
         let state = self.services.get_mut(service)?;
         let before = state.overloaded;
         state.observe(now, strain);
-        let shown = State {
+        let shown = OverloadState {
             overloaded: state.overloaded,
             lost: state.lost_share(),
             load: state.load(),
--- a/lib/tests/dispatch_queue.rs
+++ b/lib/tests/dispatch_queue.rs
@@ -1,5 +1,5 @@
-//! Requests that wait for a server with room: bursts beyond what the servers of
-//! a service take, from workspaces of very unequal size.
+//! Requests that wait for a server with room: bursts beyond the capacity of a
+//! service's servers, from workspaces of very unequal size.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 /// Rank of urgent calls.
 const URGENT: u8 = 0;
-/// Rank of a chat's calls.
+/// Rank of the calls of a chat.
 const CHAT: u8 = 2;
 
 fn at(millis: u64) -> Time {
@@ -37,7 +37,7 @@
     })
 }
 
-/// A call of a workspace that came at `since`, with much time.
+/// Returns a call of a workspace that arrived at `since`, with a late deadline.
 fn call(workspace: &str, rank: u8, since: u64) -> Waiting {
     Waiting {
         workspace: Some(Arc::from(workspace)),
@@ -59,26 +59,26 @@
     queue.pop(at(now))
 }
 
-/// Servers of the small site.
+/// Servers of a small site.
 const SERVERS: usize = 8;
-/// Calls that each one runs at once.
+/// Calls that each server runs at once.
 const SLOTS: usize = 6;
-/// Calls that each one holds before it refuses.
+/// Calls that each server holds, running or waiting, before it refuses.
 const PLACES: usize = SLOTS + 3;
-/// Gateways before them.
+/// Gateways in front of the servers.
 const GATEWAYS: usize = 24;
-/// Time of a call.
+/// Duration of a call.
 const WORK_MS: u64 = 40;
-/// Time that a caller gives a call.
+/// Time limit that callers set for a call.
 const PATIENCE_MS: u64 = 1_200;
 /// Length of the burst.
 const BURST_MS: u64 = 3_000;
-/// Pause before a server that refused is asked again.
+/// Pause before a server that refused is tried again.
 const PAUSE_MS: u64 = 40;
-/// Servers that are asked in a row without a queue, and when and how often the
-/// caller comes back.
-const IN_A_ROW: usize = 3;
-const COME_BACK_MS: u64 = 120;
+/// How many servers are tried one after another without a queue, after which time
+/// a refused caller retries, and how often it tries.
+const MAX_ATTEMPTS: usize = 3;
+const RETRY_AFTER_MS: u64 = 120;
 const TRIES: u32 = 2;
 
 #[derive(Clone, Copy)]
@@ -111,9 +111,9 @@
         self.running[server].len() + self.held[server].len()
     }
 
-    /// Returns the one of two servers that has less to do, as their answers
-    /// tell their load.
-    fn emptier(&self, one: usize, other: usize) -> usize {
+    /// Returns the less loaded of two servers, as the load that they report with
+    /// their answers shows it.
+    fn less_loaded(&self, one: usize, other: usize) -> usize {
         if self.load(one) <= self.load(other) {
             one
         } else {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Ends what is due, and returns it.
+    /// Completes the calls that are due, and returns them.
     fn end(&mut self, now: u64) -> Vec<Sent> {
         let mut ended = Vec::new();
         for server in 0..SERVERS {
@@ -137,7 +137,7 @@
     }
 }
 
-/// A caller's call.
+/// A call, and how often its caller has tried.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     at: u64,
@@ -146,20 +146,20 @@
 }
 
 impl Call {
-    /// Lets the caller come back, if it does.
-    fn comes_back(self, now: u64, coming: &mut Vec<Self>) -> bool {
+    /// Schedules a retry, and returns whether the caller makes one.
+    fn schedule_retry(self, now: u64, scheduled: &mut Vec<Self>) -> bool {
         let again = Self {
-            at: now + COME_BACK_MS,
+            at: now + RETRY_AFTER_MS,
             tries: self.tries + 1,
             ..self
         };
-        let comes = self.tries < TRIES;
-        coming.extend(comes.then_some(again));
-        comes
+        let retries = self.tries < TRIES;
+        scheduled.extend(retries.then_some(again));
+        retries
     }
 }
 
-/// Returns the calls of the burst, 1.2 times what the servers do.
+/// Returns the calls of the burst, 1.2 times what the servers can run.
 fn arrivals() -> Vec<Call> {
     let each_ms = 1.2 * (SERVERS * SLOTS) as f64 / WORK_MS as f64;
     let count = (BURST_MS as f64 * each_ms) as u64;
@@ -172,8 +172,8 @@
     calls.collect()
 }
 
-fn due(coming: &mut Vec<Call>, now: u64) -> Vec<Call> {
-    coming.extract_if(.., |one| one.at <= now).collect()
+fn due(scheduled: &mut Vec<Call>, now: u64) -> Vec<Call> {
+    scheduled.extract_if(.., |one| one.at <= now).collect()
 }
 
 /// A gateway of the small site.
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Returns whether the call waits.
+    /// Queues the call, and returns whether it was accepted.
     fn push(&mut self, now: u64, one: Call) -> bool {
         let waiting = Waiting {
             until: at(one.due - WORK_MS),
@@ -210,7 +210,7 @@
         self.limit.end(at(now), at(sent), outcome, places, wait);
     }
 
-    /// Sends what has room, and returns the calls that failed.
+    /// Sends the calls for which there is room, and returns how many failed.
     fn send(&mut self, now: u64, servers: &mut Servers, random: &mut SmallRng) -> usize {
         let mut failed = self.queue.expire(at(now)).len();
         while self.limit.has_room(0) {
@@ -223,7 +223,7 @@
             else {
                 break;
             };
-            let server = servers.emptier(any(), any());
+            let server = servers.less_loaded(any(), any());
             let sent = Sent {
                 gateway: self.number,
                 at: now,
@@ -239,21 +239,21 @@
     }
 }
 
-/// Plays the burst with a queue in each gateway, and returns how many calls
+/// Simulates the burst with a queue in each gateway, and returns how many calls
 /// failed.
-fn play_queued(seed: u64) -> usize {
+fn simulate_with_queue(seed: u64) -> usize {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut servers = Servers::default();
-    let mut coming = arrivals();
+    let mut scheduled = arrivals();
     let mut gateways: Vec<Gateway> = (0..GATEWAYS).map(Gateway::new).collect();
     let mut failed = 0;
     for now in 0..BURST_MS + 2 * PATIENCE_MS {
         for sent in servers.end(now) {
             gateways[sent.gateway].end(now, sent.at, Outcome::Answered);
         }
-        for one in due(&mut coming, now) {
+        for one in due(&mut scheduled, now) {
             let gateway = random.random_range(0..GATEWAYS);
-            if !gateways[gateway].push(now, one) && !one.comes_back(now, &mut coming) {
+            if !gateways[gateway].push(now, one) && !one.schedule_retry(now, &mut scheduled) {
                 failed += 1;
             }
         }
@@ -264,24 +264,24 @@
     failed
 }
 
-/// Plays the burst as servers are asked in a row, and returns how many calls
-/// failed.
-fn play_in_a_row(seed: u64) -> usize {
+/// Simulates the burst where servers are tried one after another without a queue,
+/// and returns how many calls failed.
+fn simulate_without_queue(seed: u64) -> usize {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut servers = Servers::default();
-    let mut coming = arrivals();
+    let mut scheduled = arrivals();
     let mut failed = 0;
     for now in 0..BURST_MS + 2 * PATIENCE_MS {
         servers.end(now);
-        for one in due(&mut coming, now) {
+        for one in due(&mut scheduled, now) {
             let first = random.random_range(0..SERVERS);
             let sent = Sent {
                 gateway: 0,
                 at: now,
             };
-            let mut asked = (0..IN_A_ROW).map(|step| (first + step) % SERVERS);
-            let taken = asked.any(|server| servers.takes(now, server, sent));
-            failed += usize::from(!taken && !one.comes_back(now, &mut coming));
+            let mut attempts = (0..MAX_ATTEMPTS).map(|step| (first + step) % SERVERS);
+            let taken = attempts.any(|server| servers.takes(now, server, sent));
+            failed += usize::from(!taken && !one.schedule_retry(now, &mut scheduled));
         }
     }
     failed
@@ -290,8 +290,8 @@
 #[test]
 fn a_burst_of_a_fifth_too_many_calls_fails_without_a_queue_and_is_served_with_one() {
     for seed in 1..=3 {
-        let without = play_in_a_row(seed);
-        let with = play_queued(seed);
+        let without = simulate_without_queue(seed);
+        let with = simulate_with_queue(seed);
 
         assert!(without > 0, "seed {seed}");
         assert_eq!(with, 0, "seed {seed}; {without} without a queue");
@@ -305,7 +305,7 @@
     let mut served: HashMap<&str, f64> = HashMap::new();
     let mut sent: HashMap<&str, f64> = HashMap::new();
     for round in 0..400_u64 {
-        // Twice as many calls come as go, nine in ten of them of one workspace.
+        // Twice as many calls arrive as are served, 17 of 20 from one workspace.
         for number in 0..20 {
             let name = if number < 17 {
                 "flood"
@@ -384,7 +384,7 @@
         }
     }
 
-    // Ageing takes one place in eight.
+    // One call in eight is served by age.
     assert!(urgent >= 7 * chat, "{urgent} urgent calls, {chat} of chats");
 }
 
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_the_newest_of_who_holds_most_of_the_lowest_rank() {
+fn a_full_queue_refuses_the_newest_call_of_the_largest_workspace_in_the_lowest_rank() {
     let mut queue = queue(5);
     push(&mut queue, call("urgent", URGENT, 0), "urgent 1");
     push(&mut queue, call("urgent", URGENT, 0), "urgent 2");
@@ -451,7 +451,7 @@
 }
 
 #[test]
-fn a_call_leaves_when_its_time_does_not_cover_its_work_any_more() {
+fn a_call_expires_when_its_time_left_is_shorter_than_its_work() {
     let mut queue = queue(10);
     let waiting = Waiting {
         until: at(500),
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn a_call_that_would_wait_in_vain_is_refused_at_once() {
+fn a_call_that_cannot_be_served_in_time_is_refused_immediately() {
     let mut queue = queue(1_000);
     let hasty = |workspace, until| Waiting {
         until: at(until),
@@ -475,13 +475,13 @@
         push(&mut queue, hasty("a", 900), ());
     }
 
-    let in_vain = queue.push(at(0), hasty("a", 900), Some(100.0), ());
+    let too_late = queue.push(at(0), hasty("a", 900), Some(100.0), ());
     let unknown = queue.push(at(0), hasty("a", 900), None, ());
     let other_share = queue.push(at(0), hasty("b", 900), Some(100.0), ());
     let hastier = queue.push(at(0), hasty("a", 800), Some(100.0), ());
 
-    // A hundred calls take a second, 100 ms more than it has.
-    assert_matches!(in_vain, Err(QueueRefusal::Slow { after }) if after >= millis(100));
+    // A hundred calls take a second, 100 ms more than the call has.
+    assert_matches!(too_late, Err(QueueRefusal::Slow { after }) if after >= millis(100));
     assert!(unknown.is_ok(), "nothing is known of the rate");
     assert!(
         other_share.is_ok(),
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn a_call_whose_caller_left_leaves_nothing_behind() {
+fn a_removed_call_takes_no_room() {
     let mut queue = queue(10);
     let pushed = queue.push(at(0), call("a", CHAT, 0), None, ());
     let key = pushed.expect("there is room").key;
@@ -517,7 +517,7 @@
 }
 
 #[test]
-fn a_refusal_limits_and_many_of_one_moment_count_once() {
+fn simultaneous_refusals_lower_the_limit_once() {
     let mut limit = Concurrency::default();
     (0..100).for_each(|_| limit.begin());
 
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn requests_at_a_server_that_died_do_not_keep_others_from_those_that_live() {
+fn requests_at_a_failed_server_do_not_block_requests_to_others() {
     let mut limit = Concurrency::default();
     (0..10).for_each(|_| limit.begin());
     limit.end(at(10), at(0), Outcome::Full, 72, Duration::ZERO);
@@ -549,7 +549,7 @@
 }
 
 #[test]
-fn answers_raise_a_limit_that_is_reached_and_silence_lifts_it() {
+fn answers_raise_a_limit_that_is_reached_and_time_without_refusals_lifts_it() {
     let mut limit = Concurrency::default();
     limit.begin();
     limit.end(at(0), at(0), Outcome::Full, 72, Duration::ZERO);
--- a/lib/tests/idle_limit.rs
+++ b/lib/tests/idle_limit.rs
@@ -1,4 +1,4 @@
-//! Which breaks of a connection say that its server drops idle ones.
+//! Which breaks of a connection are evidence that its server closes idle ones.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_at_once_makes_the_limit_shorter_for_a_while() {
+fn a_break_right_after_a_send_lowers_the_limit_for_a_while() {
     let mut limit = IdleLimit::default();
     let now = Time::from_millis(10_000);
 
@@ -20,10 +20,10 @@
     assert_eq!(limit.longest(now + millis(21_000)), millis(4_000));
 }
 
-/// Servers that work for 26 ms on the mean and lose one answer of thirty for
-/// four seconds; the gateway used connections that were idle for 50 ms.
+/// Servers with a mean response time of 26 ms lose one answer of thirty for four
+/// seconds, while the gateway uses connections that have been idle for 50 ms.
 #[test]
-fn lost_answers_say_nothing_of_idle_connections() {
+fn lost_answers_do_not_lower_the_limit() {
     let mut limit = IdleLimit::default();
     let now = Time::from_millis(10_000);
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_earliest_drop_counts_but_some_idle_time_is_always_allowed() {
+fn the_earliest_close_counts_but_some_idle_time_is_always_allowed() {
     let mut limit = IdleLimit::default();
     let now = Time::from_millis(10_000);
 
--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -1,5 +1,5 @@
-//! What gateways learn of load from each other through keepers: bursts at few
-//! and many gateways, a keeper that is lost, and odd reports, without a network.
+//! Load reports that gateways exchange through keepers, without a network: bursts
+//! with few and many gateways, the loss of a keeper, and extreme reports.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,15 +28,15 @@
 use limpetferry_lib::service_loads::OwnUse;
 use limpetferry_lib::time::Time;
 
-/// Error of an estimate that decisions still bear.
-const MOST_ERROR: f64 = 0.2;
-/// Time between a gateway's looks whether a report is due, in ms.
-const LOOK: u64 = 50;
-/// Way to a keeper and back, in ms.
-const WAY: u64 = 10;
-/// Start and end of the burst, in ms.
-const BURST: [u64; 2] = [2_000, 3_000];
-/// Factor by which load grows in the burst.
+/// Relative error of an estimate that decisions still tolerate.
+const MAX_ERROR: f64 = 0.2;
+/// Interval at which a gateway checks whether a report is due.
+const CHECK_INTERVAL_MS: u64 = 50;
+/// Round-trip time to a keeper.
+const ROUND_TRIP_MS: u64 = 10;
+/// Start and end of the burst.
+const BURST_MS: [u64; 2] = [2_000, 3_000];
+/// Factor by which the load grows in the burst.
 const GROWTH: f64 = 2.5;
 
 fn at(millis: u64) -> Time {
@@ -121,26 +121,26 @@
     summary.services.first().map_or(0, |load| load.running)
 }
 
-/// A gateway whose requests are known.
+/// A simulated gateway with a given number of requests.
 struct Gateway {
     name: Arc<str>,
     share: f64,
-    /// Part of a request by which it is ahead of others.
-    rest: f64,
+    /// Fraction of a request, so that gateways round their requests differently.
+    fraction: f64,
     known: KnownLoads,
     times: [ReportTimes; 2],
 }
 
 impl Gateway {
-    /// Returns its requests: its share of what all have.
+    /// Returns the number of its requests, a share of the total.
     fn running(&self, now: u64) -> u32 {
-        let [from, to] = BURST.map(|time| time as f64);
+        let [from, to] = BURST_MS.map(|time| time as f64);
         let part = ((now as f64 - from) / (to - from)).clamp(0.0, 1.0);
-        (self.share * (1.0 + (GROWTH - 1.0) * part) + self.rest) as u32
+        (self.share * (1.0 + (GROWTH - 1.0) * part) + self.fraction) as u32
     }
 
-    /// Reports to the keepers that are there, as far as it is due.
-    fn look(&mut self, now: u64, keepers: &mut [Option<LoadMap>; 2], missed: bool) {
+    /// Reports to the available keepers for which a report is due.
+    fn report_if_due(&mut self, now: u64, keepers: &mut [Option<LoadMap>; 2], failed_over: bool) {
         let own = OwnUse {
             service: "engine".into(),
             slots: 1_000,
@@ -153,7 +153,7 @@
         let reporters = self.known.reporters(at(now));
         let busy = self.known.requests() > 0;
         for (number, keeper) in keepers.iter_mut().enumerate() {
-            let first = number == 0 || missed;
+            let first = number == 0 || failed_over;
             let duty = if first { Duty::First } else { Duty::Second };
             if !self.times[number].is_due(at(now), duty, busy, reporters) {
                 continue;
@@ -164,8 +164,9 @@
                 ..report(&self.name, 0)
             };
             if let Some(keeper) = keeper {
-                let asker = start(&self.name, 1);
-                let summary = keeper.take(at(now + WAY), &asker, &report, &Fleet::default());
+                let sender = start(&self.name, 1);
+                let summary =
+                    keeper.take(at(now + ROUND_TRIP_MS), &sender, &report, &Fleet::default());
                 let name = format!("keeper-{number}").into();
                 self.known.hear(&name, at(now), summary);
             }
@@ -173,15 +174,15 @@
     }
 }
 
-/// Returns the largest error of any gateway's estimate in a burst from `since`
-/// on, where `count` gateways report at different times and the keeper in
-/// charge is lost at `lost`.
-fn largest_error(count: usize, since: u64, lost: Option<u64>) -> f64 {
+/// Returns the largest error of any gateway's estimate from `since` on, in a burst
+/// where `count` gateways report at different times and the keeper in charge is
+/// lost at `lost_at`.
+fn largest_error(count: usize, since: u64, lost_at: Option<u64>) -> f64 {
     let mut gateways: Vec<Gateway> = (0..count)
         .map(|number| Gateway {
             name: format!("gateway-{number}").into(),
             share: 300.0 / count as f64 * (0.5 + (number % 3) as f64 * 0.5),
-            rest: (number as f64 * 0.618).fract(),
+            fraction: (number as f64 * 0.618).fract(),
             known: KnownLoads::default(),
             times: Default::default(),
         })
@@ -189,60 +190,61 @@
     let mut keepers = [Some(LoadMap::default()), Some(LoadMap::default())];
     let mut largest = 0.0_f64;
     for now in (0..5_000).step_by(10) {
-        let gone = lost.is_some_and(|lost| now >= lost);
-        if gone {
+        let is_lost = lost_at.is_some_and(|lost| now >= lost);
+        if is_lost {
             keepers[0] = None;
         }
-        // Its link counts as broken once it was silent for half a second.
-        let missed = lost.is_some_and(|lost| now >= lost + 500);
+        // The link counts as down after half a second of silence.
+        let failed_over = lost_at.is_some_and(|lost| now >= lost + 500);
         for (number, gateway) in gateways.iter_mut().enumerate() {
             let begun = number as u64 * 70 % 200;
-            if now >= begun && (now - begun).is_multiple_of(LOOK) {
-                gateway.look(now, &mut keepers, missed);
+            if now >= begun && (now - begun).is_multiple_of(CHECK_INTERVAL_MS) {
+                gateway.report_if_due(now, &mut keepers, failed_over);
             }
         }
-        let truth: u32 = gateways.iter().map(|gateway| gateway.running(now)).sum();
+        let actual: u32 = gateways.iter().map(|gateway| gateway.running(now)).sum();
         for gateway in gateways.iter().filter(|_| now >= since) {
             let estimate = gateway.known.estimate(at(now), "engine");
             let running = estimate.map_or(f64::INFINITY, |estimate| estimate.running);
-            largest = largest.max((running / f64::from(truth) - 1.0).abs());
+            largest = largest.max((running / f64::from(actual) - 1.0).abs());
         }
     }
     largest
 }
 
 #[test]
-fn few_gateways_know_the_load_of_a_burst() {
+fn the_load_of_a_burst_is_estimated_with_few_gateways() {
     let error = largest_error(3, 1_000, None);
 
-    assert!(error <= MOST_ERROR, "{error}");
+    assert!(error <= MAX_ERROR, "{error}");
 }
 
 #[test]
-fn gateways_of_a_usual_site_know_the_load_of_a_burst() {
+fn the_load_of_a_burst_is_estimated_with_the_gateways_of_a_typical_site() {
     let error = largest_error(27, 1_000, None);
 
-    assert!(error <= MOST_ERROR, "{error}");
+    assert!(error <= MAX_ERROR, "{error}");
 }
 
 #[test]
-fn many_gateways_know_the_load_of_a_burst() {
+fn the_load_of_a_burst_is_estimated_with_many_gateways() {
     let error = largest_error(60, 1_000, None);
 
-    assert!(error <= MOST_ERROR, "{error}");
+    assert!(error <= MAX_ERROR, "{error}");
 }
 
 #[test]
 fn load_is_known_a_second_after_the_keeper_in_charge_is_lost_in_a_burst() {
-    let lost = BURST[0] + 300;
+    let lost = BURST_MS[0] + 300;
 
     let error = largest_error(27, lost + 1_000, Some(lost));
 
-    assert!(error <= MOST_ERROR, "{error}");
+    assert!(error <= MAX_ERROR, "{error}");
 }
 
-/// A gateway without requests of its own that heard of 10 at `asked`.
-fn heard(asked: u64) -> KnownLoads {
+/// Returns the load as seen by a gateway without requests of its own, after an
+/// answer, requested at `requested_at`, with 10 requests of another gateway.
+fn known_loads(requested_at: u64) -> KnownLoads {
     let mut map = LoadMap::default();
     map.take(at(0), &start("b", 1), &report("b", 10), &Fleet::default());
     let summary = map.take(at(0), &start("a", 1), &report("a", 0), &Fleet::default());
@@ -253,13 +255,13 @@
         counts: Counts::default(),
     };
     known.set_own(at(0), [own]);
-    known.hear(&"keeper".into(), at(asked), summary);
+    known.hear(&"keeper".into(), at(requested_at), summary);
     known
 }
 
 #[test]
 fn an_old_estimate_is_none() {
-    let known = heard(1_000);
+    let known = known_loads(1_000);
 
     let young = known.estimate(at(1_900), "engine");
     let old = known.estimate(at(2_100), "engine");
@@ -269,8 +271,8 @@
 }
 
 #[test]
-fn nothing_is_known_of_a_service_without_servers() {
-    let known = heard(1_000);
+fn a_service_without_servers_has_no_estimate() {
+    let known = known_loads(1_000);
 
     let estimate = known.estimate(at(1_000), "no such service");
 
@@ -278,8 +280,8 @@
 }
 
 #[test]
-fn requests_that_wait_in_the_gateway_count() {
-    let mut known = heard(1_000);
+fn queued_requests_of_the_gateway_count() {
+    let mut known = known_loads(1_000);
 
     known.set_queued(&"engine".into(), 7);
 
@@ -290,7 +292,7 @@
 
 #[test]
 fn a_keeper_that_has_just_started_does_not_hide_load() {
-    let mut known = heard(1_000);
+    let mut known = known_loads(1_000);
     let mut young = LoadMap::default();
     let own = report("a", 0);
     let summary = young.take(at(0), &start("a", 1), &own, &Fleet::default());
@@ -302,7 +304,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_again_replaces_its_earlier_start() {
+fn a_restarted_gateway_replaces_its_earlier_report() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
     map.take(at(0), &start("b", 1), &report("b", 40), &none);
@@ -315,11 +317,11 @@
 }
 
 #[test]
-fn a_gateway_that_starts_again_is_told_of_all_servers() {
+fn a_restarted_gateway_receives_the_samples_of_all_servers() {
     let mut map = LoadMap::default();
     let fleet = fleet(1);
-    let told = sampled("b", vec![sample(0, 9)]);
-    map.take(at(0), &start("b", 1), &told, &fleet);
+    let reported = sampled("b", vec![sample(0, 9)]);
+    map.take(at(0), &start("b", 1), &reported, &fleet);
     map.take(at(10), &start("a", 1), &report("a", 0), &fleet);
 
     let again = map.take(at(20), &start("a", 2), &report("a", 0), &fleet);
@@ -328,7 +330,7 @@
 }
 
 #[test]
-fn requests_of_a_gateway_that_is_gone_no_longer_count() {
+fn requests_of_a_stopped_gateway_no_longer_count() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
     map.take(at(0), &start("b", 1), &report("b", 40), &none);
@@ -341,14 +343,14 @@
 }
 
 #[test]
-fn rates_are_known_though_a_report_is_lost() {
+fn rates_are_correct_despite_a_lost_report() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
     for round in (0..20).filter(|round| round % 5 != 3) {
-        let mut told = report("b", 10);
-        told.services[0].ended = u32::MAX.wrapping_add(round * 20);
-        told.services[0].shed = round * 4;
-        map.take(at(u64::from(round) * 200), &start("b", 1), &told, &none);
+        let mut reported = report("b", 10);
+        reported.services[0].ended = u32::MAX.wrapping_add(round * 20);
+        reported.services[0].shed = round * 4;
+        map.take(at(u64::from(round) * 200), &start("b", 1), &reported, &none);
     }
 
     let summary = map.take(at(3_900), &start("a", 1), &report("a", 0), &none);
@@ -359,7 +361,7 @@
 }
 
 #[test]
-fn samples_of_others_are_told_once_with_their_age() {
+fn samples_of_others_are_returned_once_with_their_age() {
     let mut map = LoadMap::default();
     let fleet = fleet(4);
     let take = |map: &mut LoadMap, now, node: &str, servers| {
@@ -382,15 +384,20 @@
 }
 
 #[test]
-fn answers_before_12000_servers_tell_of_the_few_that_stand_out() {
+fn answers_for_12000_servers_contain_the_few_outliers() {
     let mut map = LoadMap::default();
     let fleet = fleet(12_000);
     for number in 0..12_000 {
-        // Every 300th one is full, in a gateway's share of all.
+        // Every 300th server is full; each gateway reports its share of the servers.
         let running = if number % 300 == 299 { 30 } else { 8 };
         let node = format!("gateway-{}", number % 100);
-        let told = sampled(&node, vec![sample(number, running)]);
-        map.take(at(u64::from(number / 24)), &start(&node, 1), &told, &fleet);
+        let reported = sampled(&node, vec![sample(number, running)]);
+        map.take(
+            at(u64::from(number / 24)),
+            &start(&node, 1),
+            &reported,
+            &fleet,
+        );
     }
 
     let summary = map.take(at(500), &start("a", 1), &report("a", 0), &fleet);
@@ -401,7 +408,7 @@
 }
 
 #[test]
-fn gateways_with_most_room_are_told_those_nearby_first() {
+fn gateways_with_most_spare_capacity_are_returned_those_nearby_first() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
     let mut take = |now, node: &str, centre: &str, link, requests, late| {
@@ -413,11 +420,12 @@
             requests,
             ..state(node)
         };
-        let told = LoadReport {
+        let reported = LoadReport {
             gateway,
             ..report(node, 0)
         };
-        map.take(at(now), &start(node, 1), &told, &none).gateways
+        map.take(at(now), &start(node, 1), &reported, &none)
+            .gateways
     };
     take(0, "weak", "here", 10, 20, 0);
     take(0, "strong", "here", 100, 20, 0);
@@ -431,14 +439,14 @@
 }
 
 #[test]
-fn no_more_than_eight_gateways_are_told() {
+fn at_most_eight_gateways_are_returned() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
     for number in 0..20 {
         let node = format!("gateway-{number}");
-        let mut told = report(&node, 0);
-        told.gateway.address = Some(([10, 0, 0, 1], 80).into());
-        map.take(at(0), &start(&node, 1), &told, &none);
+        let mut reported = report(&node, 0);
+        reported.gateway.address = Some(([10, 0, 0, 1], 80).into());
+        map.take(at(0), &start(&node, 1), &reported, &none);
     }
 
     let summary = map.take(at(200), &start("a", 1), &report("a", 0), &none);
@@ -447,10 +455,10 @@
 }
 
 #[test]
-fn odd_reports_do_no_harm() {
+fn extreme_reports_do_no_harm() {
     let mut map = LoadMap::default();
     let fleet = fleet(2);
-    let odd = |number, running, slots, age_ms| ServerSample {
+    let extreme = |number, running, slots, age_ms| ServerSample {
         load: Load {
             running,
             waiting: u32::MAX,
@@ -471,7 +479,7 @@
         ended: u32::MAX,
         shed: u32::MAX,
     };
-    let told = LoadReport {
+    let reported = LoadReport {
         gateway: GatewayState {
             link_mbps: 0,
             cpu_milli: u32::MAX,
@@ -481,8 +489,8 @@
         },
         services: vec![service.clone(), service],
         servers: vec![
-            odd(0, u32::MAX, 0, 0),
-            odd(1, 0, u32::MAX, u32::MAX),
+            extreme(0, u32::MAX, 0, 0),
+            extreme(1, 0, u32::MAX, u32::MAX),
             unknown,
         ],
         places: vec![Place {
@@ -495,8 +503,8 @@
     };
 
     for now in [500, 500, 400, 90_000] {
-        map.take(at(now), &start("b", 1), &told, &fleet);
-        map.take(at(now), &start("c", 1), &told, &fleet);
+        map.take(at(now), &start("b", 1), &reported, &fleet);
+        map.take(at(now), &start("c", 1), &reported, &fleet);
     }
     let summary = map.take(at(90_000), &start("a", 1), &report("a", 0), &fleet);
 
@@ -507,7 +515,7 @@
     known.hear(&"keeper".into(), at(0), summary.clone());
     let mut fleet = fleet;
     fleet.hear_loads(at(0), &summary.servers);
-    fleet.hear_loads(at(0), &told.servers);
+    fleet.hear_loads(at(0), &reported.servers);
     known.set_own(at(0), fleet.own_uses());
     let estimate = known.estimate(at(0), "engine").expect("it is known");
     assert!(estimate.utilization().is_finite());
@@ -515,7 +523,7 @@
 }
 
 #[test]
-fn a_gateway_without_requests_reports_seldom() {
+fn an_idle_gateway_reports_less_often() {
     let mut times = ReportTimes::default();
     times.note(at(0), false);
 
@@ -551,7 +559,7 @@
 }
 
 #[test]
-fn a_shared_part_that_one_gateway_had_read_is_told_to_the_others_once() {
+fn a_shared_prompt_part_is_returned_to_other_gateways_once() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
     let place = Place {
@@ -565,8 +573,10 @@
         places: vec![place],
         ..report("reader", 0)
     };
-    let mut take =
-        |millis, node, told: &LoadReport| map.take(at(millis), &start(node, 1), told, &none).places;
+    let mut take = |millis, node, reported: &LoadReport| {
+        map.take(at(millis), &start(node, 1), reported, &none)
+            .places
+    };
     let idle = report("other", 0);
     take(0, "other", &idle);
 
@@ -580,7 +590,7 @@
 }
 
 #[test]
-fn places_that_come_in_masses_are_told_in_bounded_answers() {
+fn the_number_of_places_in_an_answer_is_bounded() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
     let place = |id| Place {
@@ -595,7 +605,7 @@
         map.take(at(round), &start("reader", 1), &reader, &none);
     }
 
-    let told = map.take(at(100), &start("other", 1), &report("other", 0), &none);
+    let answer = map.take(at(100), &start("other", 1), &report("other", 0), &none);
 
-    assert!((1..=256).contains(&told.places.len()));
+    assert!((1..=256).contains(&answer.places.len()));
 }
--- a/lib/tests/load_shed.rs
+++ b/lib/tests/load_shed.rs
@@ -1,7 +1,7 @@
-//! A burst at a gateway that cannot do all of it: programs of seven turns, 1.6
-//! times as many as it has processor time for, as on a gateway of 0.09 of a
-//! core beside others with 0.5. The figures are those of the sheets: a turn
-//! costs 3 ms there with its lookups, and a program has 1.5 s to spare.
+//! Simulates a burst at an overloaded gateway: programs of seven turns, 1.6 times
+//! as many as it has processor time for, like on a gateway with 0.09 of a core
+//! beside others with 0.5. The figures come from the requirements: a turn costs
+//! 3 ms with its lookups, and a program has 1.5 s of slack.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 
 /// Turns of a program.
 const TURNS: u32 = 7;
-/// Processor time of a turn, in microseconds.
+/// Processor time of a turn.
 const TURN_US: u64 = 3_000;
-/// Pause between a program's turns, in microseconds: engine and tools.
+/// Pause between a program's turns, for the engine and tools.
 const PAUSE_US: u64 = 600_000;
-/// What a program may take beyond its time on an idle gateway.
-const SPARE_US: u64 = 1_500_000;
-/// Time between two programs: 1.6 times what there is processor time for.
+/// Time that a program may take beyond its duration on an idle gateway.
+const SLACK_US: u64 = 1_500_000;
+/// Time between two programs, for 1.6 times the load that the processor can serve.
 const ARRIVAL_US: u64 = TURN_US * TURNS as u64 * 10 / 16;
 /// Length of the burst.
 const BURST_US: u64 = 10_000_000;
-/// Time between timers.
+/// Interval of the timers whose lateness is observed.
 const TIMER_US: u64 = 50_000;
 
 struct Turn {
@@ -30,30 +30,30 @@
     due: u64,
 }
 
-/// Plays the burst, and returns how many programs were refused, in time and
+/// Simulates the burst, and returns how many programs were refused, in time and
 /// late.
-fn play(mut shed: Option<LoadShed>) -> (u32, u32, u32) {
+fn simulate(mut shed: Option<LoadShed>) -> (u32, u32, u32) {
     let mut waiting: VecDeque<Turn> = VecDeque::new();
-    let mut coming: Vec<Turn> = Vec::new();
+    let mut scheduled: Vec<Turn> = Vec::new();
     let mut next_timer = 0;
     let (mut now, mut number) = (0, 0);
     let (mut refused, mut good, mut late) = (0, 0, 0);
-    let born = |program: u64| program * ARRIVAL_US;
+    let arrival = |program: u64| program * ARRIVAL_US;
     while now < BURST_US + 20_000_000 {
-        while born(number) <= now && born(number) < BURST_US {
+        while arrival(number) <= now && arrival(number) < BURST_US {
             waiting.push_back(Turn {
                 program: number,
                 number: 0,
-                due: born(number),
+                due: arrival(number),
             });
             number += 1;
         }
-        coming.sort_by_key(|turn| turn.due);
-        while coming.first().is_some_and(|turn| turn.due <= now) {
-            waiting.push_back(coming.remove(0));
+        scheduled.sort_by_key(|turn| turn.due);
+        while scheduled.first().is_some_and(|turn| turn.due <= now) {
+            waiting.push_back(scheduled.remove(0));
         }
         if next_timer <= now {
-            // A timer waits behind all that is there.
+            // A timer waits behind all queued turns.
             let late = Duration::from_micros(waiting.len() as u64 * TURN_US);
             shed.iter_mut().for_each(|shed| shed.observe(late));
             next_timer = now + TIMER_US;
@@ -74,7 +74,7 @@
         }
         now += TURN_US;
         if turn.number + 1 < TURNS {
-            coming.push(Turn {
+            scheduled.push(Turn {
                 number: turn.number + 1,
                 due: now + PAUSE_US,
                 ..turn
@@ -82,7 +82,7 @@
             continue;
         }
         let idle = u64::from(TURNS) * TURN_US + u64::from(TURNS - 1) * PAUSE_US;
-        if now <= born(turn.program) + idle + SPARE_US {
+        if now <= arrival(turn.program) + idle + SLACK_US {
             good += 1;
         } else {
             late += 1;
@@ -93,8 +93,8 @@
 
 #[test]
 fn a_gateway_that_refuses_first_turns_ends_more_programs_in_time() {
-    let (_, good_without, late_without) = play(None);
-    let (refused, good, late) = play(Some(LoadShed::default()));
+    let (_, good_without, late_without) = simulate(None);
+    let (refused, good, late) = simulate(Some(LoadShed::default()));
 
     println!("without: {good_without} in time, {late_without} late");
     println!("with: {good} in time, {late} late, {refused} refused");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_gateway_with_time_to_spare_refuses_nobody() {
+fn a_gateway_with_spare_capacity_refuses_nobody() {
     let mut shed = LoadShed::default();
     (0..100).for_each(|_| shed.observe(Duration::from_millis(20)));
 
@@ -116,21 +116,21 @@
 }
 
 #[test]
-fn keepers_that_answer_late_count_until_they_answer_in_time() {
+fn slow_keeper_answers_cause_shedding_until_they_decay() {
     let mut shed = LoadShed::default();
     let new: Arc<str> = Arc::from("new");
     (0..20).for_each(|_| shed.observe_answer(Duration::from_millis(300)));
-    let choked = shed.admit(&new, true, 0.5);
+    let during = shed.admit(&new, true, 0.5);
 
     (0..100).for_each(|_| shed.observe(Duration::ZERO));
-    let free = shed.admit(&new, true, 0.0);
+    let afterwards = shed.admit(&new, true, 0.0);
 
-    assert!(choked.is_err());
-    assert!(free.is_ok());
+    assert!(during.is_err());
+    assert!(afterwards.is_ok());
 }
 
 #[test]
-fn a_program_that_was_begun_goes_on() {
+fn a_program_that_has_begun_continues() {
     let mut shed = LoadShed::default();
     let program: Arc<str> = Arc::from("begun");
     assert!(shed.admit(&program, true, 0.0).is_ok());
--- a/lib/tests/overload.rs
+++ b/lib/tests/overload.rs
@@ -1,5 +1,5 @@
-//! A burst at engines: twice as many programs as they can do, for ten seconds,
-//! through gateways that hear of each other every 200 ms.
+//! Simulates a burst at engines: twice as many programs as the engines can serve,
+//! for ten seconds, through gateways that exchange load reports every 200 ms.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -20,44 +20,44 @@
 
 /// Requests that the engines run at once.
 const SLOTS: usize = 120;
-/// Length of a turn at idle engines, what full ones take longer, and the pause
-/// between two turns, in ms.
-const TURN: u64 = 200;
-const SLOWER: u64 = 100;
-const PAUSE: u64 = 300;
+/// Duration of a turn at idle engines, the additional duration at full engines,
+/// and the pause between two turns.
+const TURN_MS: u64 = 200;
+const SLOWDOWN_MS: u64 = 100;
+const PAUSE_MS: u64 = 300;
 /// Turns of a program.
 const TURNS: u64 = 4;
-/// Programs that full engines end, a second.
-const CAPACITY: f64 = SLOTS as f64 * 1_000.0 / (TURNS * (TURN + SLOWER)) as f64;
-const IDLE: u64 = TURNS * TURN + (TURNS - 1) * PAUSE;
-/// When the burst begins and ends, and when the last program comes, in ms.
-const BURST: (u64, u64) = (10_000, 20_000);
-const END: u64 = 30_000;
-/// Time between reports of gateways, and between looks at them, in ms.
-const REPORT: u64 = 200;
-const LOOK: u64 = 100;
-/// Load before and after the burst, as a part of the capacity.
-const CALM: f64 = 0.7;
-
-/// What arrives, and who decides.
+/// Programs per second that full engines complete.
+const PROGRAMS_PER_S: f64 = SLOTS as f64 * 1_000.0 / (TURNS * (TURN_MS + SLOWDOWN_MS)) as f64;
+const IDLE_MS: u64 = TURNS * TURN_MS + (TURNS - 1) * PAUSE_MS;
+/// Start and end of the burst, and the time when the last program arrives.
+const BURST_MS: (u64, u64) = (10_000, 20_000);
+const END_MS: u64 = 30_000;
+/// Interval of the gateways' load reports, and of their observations of the load.
+const REPORT_INTERVAL_MS: u64 = 200;
+const OBSERVE_INTERVAL_MS: u64 = 100;
+/// Load before and after the burst, relative to the capacity.
+const CALM_LOAD: f64 = 0.7;
+
+/// The simulated load, and whether refusals take effect.
 #[derive(Clone, Copy)]
-struct Setting {
+struct Scenario {
     gateways: usize,
     burst: f64,
-    decides: bool,
-    /// What programs may take, as a part of their time at idle engines.
-    given: f64,
+    enforced: bool,
+    /// Time limit of a program, relative to its duration at idle engines.
+    time_factor: f64,
 }
 
-const TWICE: Setting = Setting {
+const DOUBLE_LOAD: Scenario = Scenario {
     gateways: 3,
     burst: 2.0,
-    decides: true,
-    given: 1.5,
+    enforced: true,
+    time_factor: 1.5,
 };
 
 struct Program {
-    born: u64,
+    started: u64,
     turn: u64,
     tries: u64,
     kind: Kind,
@@ -75,37 +75,37 @@
 }
 
 struct Ended {
-    born: u64,
+    started: u64,
     kind: Kind,
     end: End,
 }
 
-/// What a play showed.
-struct Shown {
+/// Result of a simulation.
+struct Simulation {
     ended: Vec<Ended>,
-    /// Mean share that gateways admit, at each look.
+    /// Mean share that gateways admit, at each observation.
     admitted: Vec<(u64, f64)>,
-    backs: Vec<(Duration, Duration)>,
+    retries: Vec<(Duration, Duration)>,
 }
 
-impl Shown {
-    fn count(&self, born: (u64, u64), which: impl Fn(&Ended) -> bool) -> f64 {
-        let those = self.ended.iter();
-        let those = those.filter(|one| (born.0..born.1).contains(&one.born));
-        those.filter(|one| which(one)).count() as f64
+impl Simulation {
+    fn count(&self, started: (u64, u64), which: impl Fn(&Ended) -> bool) -> f64 {
+        let programs = self.ended.iter();
+        let programs = programs.filter(|one| (started.0..started.1).contains(&one.started));
+        programs.filter(|one| which(one)).count() as f64
     }
 
-    fn in_time(&self, born: (u64, u64)) -> f64 {
-        self.count(born, |one| one.end == End::InTime)
+    fn in_time(&self, started: (u64, u64)) -> f64 {
+        self.count(started, |one| one.end == End::InTime)
     }
 
-    fn share(&self, born: (u64, u64), which: impl Fn(&Ended) -> bool) -> f64 {
-        let all = self.count(born, &which);
-        self.count(born, |one| which(one) && one.end != End::Refused) / all
+    fn share(&self, started: (u64, u64), which: impl Fn(&Ended) -> bool) -> f64 {
+        let all = self.count(started, &which);
+        self.count(started, |one| which(one) && one.end != End::Refused) / all
     }
 }
 
-/// A fixed sequence of numbers from 0 up to 1.
+/// A fixed sequence of pseudorandom numbers from 0 up to 1.
 struct Draws(u64);
 
 impl Draws {
@@ -122,83 +122,86 @@
     }
 }
 
-/// Plays the burst; `kind` draws what each program is at a time.
-fn play(setting: Setting, kind: impl Fn(u64, &mut Draws) -> Kind) -> Shown {
+/// Simulates the burst; `kind` draws the kind of each program at its arrival.
+fn simulate(scenario: Scenario, kind: impl Fn(u64, &mut Draws) -> Kind) -> Simulation {
     let service: Arc<str> = "engines".into();
     let names: Vec<Arc<str>> = (0..100).map(|at| format!("w{at}").into()).collect();
-    let given = (IDLE as f64 * setting.given) as u64;
+    let time_limit = (IDLE_MS as f64 * scenario.time_factor) as u64;
     let mut draws = Draws(7);
-    let mut gates: Vec<(Overload, LoadShed)> = vec![Default::default(); setting.gateways];
-    let mut own = vec![0_usize; setting.gateways];
-    let mut told = own.clone();
+    let mut controls: Vec<(Overload, LoadShed)> = vec![Default::default(); scenario.gateways];
+    let mut own = vec![0_usize; scenario.gateways];
+    let mut reported = own.clone();
     let mut programs: Vec<Program> = Vec::new();
-    let mut coming: BTreeMap<(u64, usize), ()> = BTreeMap::new();
+    let mut arrivals: BTreeMap<(u64, usize), ()> = BTreeMap::new();
     let mut waiting: VecDeque<(usize, usize)> = VecDeque::new();
     let mut running: BTreeMap<(u64, usize), usize> = BTreeMap::new();
     let mut ends: VecDeque<u64> = VecDeque::new();
-    let mut shown = Shown {
+    let mut simulation = Simulation {
         ended: Vec::new(),
         admitted: Vec::new(),
-        backs: Vec::new(),
+        retries: Vec::new(),
     };
     let mut due = 0.0;
-    for now in 0..END + 10 * IDLE {
+    for now in 0..END_MS + 10 * IDLE_MS {
         let time = Time::from_millis(now);
-        if now < END {
-            let busy = (BURST.0..BURST.1).contains(&now);
-            due += CAPACITY / 1_000.0 * if busy { setting.burst } else { CALM };
+        if now < END_MS {
+            let busy = (BURST_MS.0..BURST_MS.1).contains(&now);
+            due += PROGRAMS_PER_S / 1_000.0 * if busy { scenario.burst } else { CALM_LOAD };
         }
         while due >= 1.0 {
             due -= 1.0;
-            coming.insert((now, programs.len()), ());
+            arrivals.insert((now, programs.len()), ());
             programs.push(Program {
-                born: now,
+                started: now,
                 turn: 0,
                 tries: 0,
                 kind: kind(now, &mut draws),
             });
         }
-        while let Some((&(at, id), &gate)) = running.first_key_value()
+        while let Some((&(at, id), &gateway)) = running.first_key_value()
             && at <= now
         {
             running.pop_first();
             ends.push_back(now);
-            own[gate] -= 1;
-            gates[gate].0.ended(time, &service);
+            own[gateway] -= 1;
+            controls[gateway].0.ended(time, &service);
             let program = &mut programs[id];
             program.turn += 1;
             if program.turn < TURNS {
-                coming.insert((now + PAUSE, id), ());
+                arrivals.insert((now + PAUSE_MS, id), ());
                 continue;
             }
-            let good = now <= program.born + given;
-            shown.ended.push(Ended {
-                born: program.born,
+            let good = now <= program.started + time_limit;
+            simulation.ended.push(Ended {
+                started: program.started,
                 kind: program.kind,
                 end: if good { End::InTime } else { End::Late },
             });
         }
         ends.retain(|at| at + 1_000 > now);
-        if now % REPORT == 0 {
-            told.clone_from(&own);
+        if now % REPORT_INTERVAL_MS == 0 {
+            reported.clone_from(&own);
         }
-        if now % LOOK == 0 {
+        if now % OBSERVE_INTERVAL_MS == 0 {
             let mut sum = 0.0;
-            for (at, (overload, _)) in gates.iter_mut().enumerate() {
-                let all = own[at] + told.iter().sum::<usize>() - told[at];
+            for (at, (overload, _)) in controls.iter_mut().enumerate() {
+                let all = own[at] + reported.iter().sum::<usize>() - reported[at];
                 let strain = strain(all, ends.len(), now);
                 let state = overload.observe(time, &service, Some(strain));
                 sum += state.map_or(1.0, |(state, _)| state.admitted);
             }
-            shown.admitted.push((now, sum / setting.gateways as f64));
+            simulation
+                .admitted
+                .push((now, sum / scenario.gateways as f64));
         }
-        while let Some((&(at, id), ())) = coming.first_key_value()
+        while let Some((&(at, id), ())) = arrivals.first_key_value()
             && at <= now
         {
-            coming.pop_first();
-            let gate = draws.below(setting.gateways);
+            arrivals.pop_first();
+            let gateway = draws.below(scenario.gateways);
             let program = &mut programs[id];
-            let remaining = Duration::from_millis((program.born + given).saturating_sub(now));
+            let remaining =
+                Duration::from_millis((program.started + time_limit).saturating_sub(now));
             let name: Arc<str> = id.to_string().into();
             let arrival = Arrival {
                 program: &name,
@@ -210,36 +213,36 @@
                 remaining: Some(remaining),
                 patience: Duration::from_secs(3),
             };
-            let (overload, shed) = &mut gates[gate];
+            let (overload, shed) = &mut controls[gateway];
             let admitted = overload.admit(time, shed, &arrival, draws.next());
             match admitted {
-                Err(Refused::Service(after)) if setting.decides => {
-                    shown.backs.push((after, remaining));
+                Err(Refused::Service(after)) if scenario.enforced => {
+                    simulation.retries.push((after, remaining));
                     program.tries += 1;
                     if program.tries <= 1 {
-                        coming.insert((now + after.as_millis() as u64, id), ());
+                        arrivals.insert((now + after.as_millis() as u64, id), ());
                         continue;
                     }
-                    shown.ended.push(Ended {
-                        born: program.born,
+                    simulation.ended.push(Ended {
+                        started: program.started,
                         kind: program.kind,
                         end: End::Refused,
                     });
                 }
                 _ => {
-                    own[gate] += 1;
-                    waiting.push_back((id, gate));
+                    own[gateway] += 1;
+                    waiting.push_back((id, gateway));
                 }
             }
         }
         while running.len() < SLOTS
-            && let Some((id, gate)) = waiting.pop_front()
+            && let Some((id, gateway)) = waiting.pop_front()
         {
-            let took = TURN + SLOWER * running.len() as u64 / SLOTS as u64;
-            running.insert((now + took, id), gate);
+            let took = TURN_MS + SLOWDOWN_MS * running.len() as u64 / SLOTS as u64;
+            running.insert((now + took, id), gateway);
         }
     }
-    shown
+    simulation
 }
 
 fn strain(all: usize, ended: usize, now: u64) -> Strain {
@@ -248,61 +251,79 @@
         running: all.min(SLOTS) as f64,
         queued: all.saturating_sub(SLOTS) as f64,
         rate: ended as f64 * 1_000.0 / now.clamp(1, 1_000) as f64,
-        age: Duration::from_millis(REPORT),
+        age: Duration::from_millis(REPORT_INTERVAL_MS),
     };
-    let slower = SLOWER as f64 * estimate.utilization().min(1.0);
+    let slower = SLOWDOWN_MS as f64 * estimate.utilization().min(1.0);
     Strain::new(&estimate, Duration::from_secs_f64(slower / 1_000.0))
 }
 
-fn alike(_: u64, _: &mut Draws) -> Kind {
+fn uniform(_: u64, _: &mut Draws) -> Kind {
     (0, 0)
 }
 
-/// Programs in time that full engines end while the burst lasts.
-fn most() -> f64 {
-    CAPACITY * (BURST.1 - BURST.0) as f64 / 1_000.0
+/// Number of programs that full engines complete during the burst.
+fn max_in_time() -> f64 {
+    PROGRAMS_PER_S * (BURST_MS.1 - BURST_MS.0) as f64 / 1_000.0
 }
 
 #[test]
 fn in_a_burst_of_twice_the_capacity_the_engines_end_as_many_programs_in_time_as_they_can() {
     for gateways in [3, 24] {
-        let setting = Setting { gateways, ..TWICE };
-        let without = play(
-            Setting {
-                decides: false,
-                ..setting
+        let scenario = Scenario {
+            gateways,
+            ..DOUBLE_LOAD
+        };
+        let without = simulate(
+            Scenario {
+                enforced: false,
+                ..scenario
             },
-            alike,
+            uniform,
         )
-        .in_time(BURST);
-        let with = play(setting, alike).in_time(BURST);
+        .in_time(BURST_MS);
+        let with = simulate(scenario, uniform).in_time(BURST_MS);
 
         println!(
             "{gateways} gateways: {with} of {}, {without} without",
-            most()
+            max_in_time()
         );
-        assert!(with >= 0.9 * most(), "{with} of {}", most());
+        assert!(with >= 0.9 * max_in_time(), "{with} of {}", max_in_time());
         assert!(with >= 5.0 * without, "{with} against {without}");
     }
 }
 
 #[test]
-fn after_the_burst_all_begin_again_within_the_time_of_a_program() {
+fn all_programs_are_admitted_again_within_a_program_duration_after_the_burst() {
     for gateways in [3, 24] {
-        let shown = play(Setting { gateways, ..TWICE }, alike);
-        let open = (BURST.1 + IDLE * 3 / 2, END);
+        let simulation = simulate(
+            Scenario {
+                gateways,
+                ..DOUBLE_LOAD
+            },
+            uniform,
+        );
+        let open = (BURST_MS.1 + IDLE_MS * 3 / 2, END_MS);
 
-        let share = shown.in_time(open) / shown.count(open, |_| true);
+        let share = simulation.in_time(open) / simulation.count(open, |_| true);
         assert!(share >= 0.95, "{share} at {gateways} gateways");
     }
 }
 
 #[test]
-fn the_admitted_share_does_not_swing_between_all_and_none() {
+fn the_admitted_share_does_not_oscillate() {
     for gateways in [3, 24] {
-        let shown = play(Setting { gateways, ..TWICE }, alike);
-        let settled = BURST.0 + 3_000..BURST.1;
-        let shares = shown.admitted.iter().filter(|(at, _)| settled.contains(at));
+        let simulation = simulate(
+            Scenario {
+                gateways,
+                ..DOUBLE_LOAD
+            },
+            uniform,
+        );
+        let settled = BURST_MS.0 + 3_000..BURST_MS.1;
+        let shares = simulation
+            .admitted
+            .iter()
+            .filter(|(at, _)| settled.contains(at));
 
         for (at, share) in shares {
             assert!((0.1..0.9).contains(share), "{share} at {at} ms");
@@ -313,26 +334,26 @@
 #[test]
 fn at_seven_tenths_of_the_capacity_nobody_is_refused() {
     for gateways in [3, 24] {
-        let calm = Setting {
+        let calm = Scenario {
             gateways,
-            burst: CALM,
-            ..TWICE
+            burst: CALM_LOAD,
+            ..DOUBLE_LOAD
         };
 
-        let shown = play(calm, alike);
+        let simulation = simulate(calm, uniform);
 
-        assert!(shown.backs.is_empty());
-        assert!(shown.admitted.iter().all(|(_, share)| *share == 1.0));
+        assert!(simulation.retries.is_empty());
+        assert!(simulation.admitted.iter().all(|(_, share)| *share == 1.0));
     }
 }
 
 #[test]
-fn a_lower_rank_pays_first_and_is_still_served() {
-    let shown = play(TWICE, |_, draws| {
+fn a_lower_rank_is_refused_first_and_still_served() {
+    let simulation = simulate(DOUBLE_LOAD, |_, draws| {
         (if draws.next() < 0.5 { 0 } else { 2 }, 0)
     });
-    let share = |rank| shown.share(BURST, |one| one.kind.0 == rank);
-    let (first, last, all) = (share(0), share(2), shown.share(BURST, |_| true));
+    let share = |rank| simulation.share(BURST_MS, |one| one.kind.0 == rank);
+    let (first, last, all) = (share(0), share(2), simulation.share(BURST_MS, |_| true));
 
     println!("first rank {first:.2}, last {last:.2}, all {all:.2}");
     assert!(first >= 1.5 * last, "{first} against {last}");
@@ -340,22 +361,22 @@
 }
 
 #[test]
-fn a_workspace_that_floods_pays_before_the_others() {
+fn a_flooding_workspace_is_refused_before_others() {
     let flood = |now, draws: &mut Draws| {
-        let floods = (BURST.0..BURST.1).contains(&now) && draws.next() < 0.6;
+        let floods = (BURST_MS.0..BURST_MS.1).contains(&now) && draws.next() < 0.6;
         (0, if floods { 0 } else { 1 + draws.below(20) })
     };
-    let shown = play(TWICE, flood);
-    let own = shown.share(BURST, |one| one.kind.1 == 0);
-    let others = shown.share(BURST, |one| one.kind.1 != 0);
-    let all = shown.share(BURST, |_| true);
+    let simulation = simulate(DOUBLE_LOAD, flood);
+    let own = simulation.share(BURST_MS, |one| one.kind.1 == 0);
+    let others = simulation.share(BURST_MS, |one| one.kind.1 != 0);
+    let all = simulation.share(BURST_MS, |_| true);
 
     println!("the one that floods {own:.2}, others {others:.2}, all {all:.2}");
     assert!(others >= 1.5 * own, "{others} against {own}");
     assert!(own >= all / 4.0, "{own} of {all}");
 }
 
-/// A service that is far beyond what it can do, told at `at`.
+/// Returns a gateway for which a service is far beyond its capacity since `at`.
 fn overloaded(at: Time) -> (Overload, LoadShed) {
     let (mut overload, mut shed) = (Overload::default(), LoadShed::default());
     let service: Arc<str> = "engines".into();
@@ -363,8 +384,8 @@
         let name: Arc<str> = format!("before{number}").into();
         let _ = overload.admit(at, &mut shed, &arrival(&name, &service), 0.0);
     }
-    for look in 1..=10 {
-        let now = at + Duration::from_millis(look * LOOK);
+    for step in 1..=10 {
+        let now = at + Duration::from_millis(step * OBSERVE_INTERVAL_MS);
         overload.observe(now, &service, Some(strain(4 * SLOTS, 400, 1_000)));
     }
     (overload, shed)
@@ -378,17 +399,17 @@
         service,
         rank: 0,
         workspace: None,
-        remaining: Some(Duration::from_millis(IDLE * 3 / 2)),
+        remaining: Some(Duration::from_millis(IDLE_MS * 3 / 2)),
         patience: Duration::from_secs(3),
     }
 }
 
 #[test]
-fn programs_that_have_begun_go_on_whatever_the_load() {
+fn programs_that_have_begun_continue_at_any_load() {
     let (mut overload, mut shed) = overloaded(Time::default());
     let now = Time::from_millis(1_100);
     let service: Arc<str> = "engines".into();
-    let (begun, new): (Arc<str>, Arc<str>) = ("before7".into(), "new".into());
+    let (known, new): (Arc<str>, Arc<str>) = ("before7".into(), "new".into());
     let later = Arrival {
         first: false,
         ..arrival(&new, &service)
@@ -399,12 +420,12 @@
     };
 
     let refused = overload.admit(now, &mut shed, &arrival(&new, &service), 0.0);
-    let again = overload.admit(now, &mut shed, &arrival(&begun, &service), 0.0);
+    let known_again = overload.admit(now, &mut shed, &arrival(&known, &service), 0.0);
     let unknown = overload.admit(now, &mut shed, &unlinked, 0.0);
-    let elsewhere = overload.admit(now, &mut shed, &later, 0.0);
+    let continued = overload.admit(now, &mut shed, &later, 0.0);
 
     assert!(matches!(refused, Err(Refused::Service(_))));
-    assert!(again.is_ok() && elsewhere.is_ok());
+    assert!(known_again.is_ok() && continued.is_ok());
     assert!(unknown.is_ok(), "it may be a later turn of a program");
 }
 
@@ -425,7 +446,7 @@
 }
 
 #[test]
-fn a_gateway_that_just_started_takes_all() {
+fn a_gateway_that_has_just_started_admits_all() {
     let (mut overload, mut shed) = (Overload::default(), LoadShed::default());
     let service: Arc<str> = "engines".into();
     let (first, second): (Arc<str>, Arc<str>) = ("first".into(), "second".into());
@@ -439,7 +460,7 @@
 }
 
 #[test]
-fn a_gateway_that_is_late_itself_sends_callers_to_another_one_at_once() {
+fn a_late_gateway_asks_callers_to_retry_elsewhere_immediately() {
     let (mut overload, mut shed) = (Overload::default(), LoadShed::default());
     let service: Arc<str> = "engines".into();
     let new: Arc<str> = "new".into();
@@ -453,9 +474,9 @@
     assert!(after <= Duration::from_millis(100));
 }
 
-/// Engines slow down before all of their slots are taken. Time that is lost while
-/// most slots are free is not lost to a lack of room: fewer programs would not
-/// be faster.
+/// Engines slow down before all of their slots are taken. Time that programs lose
+/// while most slots are free is not caused by a lack of capacity: admitting fewer
+/// programs would not make them faster.
 #[test]
 fn busy_engines_are_overloaded_by_the_time_lost_and_idle_ones_are_not() {
     let service: Arc<str> = "engines".into();
--- a/lib/tests/retry_budget.rs
+++ b/lib/tests/retry_budget.rs
@@ -1,5 +1,5 @@
-//! Failures at a service: one server of ten that breaks everything, and all of
-//! them at once.
+//! Retries of requests when one server of ten fails all requests, and when all
+//! servers do.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
 
-/// Servers that a request is tried at, at most.
-const MOST_TRIES: u64 = 3;
+/// Largest number of servers at which a request is tried.
+const MAX_TRIES: u64 = 3;
 /// Time between two requests.
-const EVERY: Duration = Duration::from_millis(20);
+const INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sends requests, and returns how many were tried again and how many were not
-/// for lack of budget. `fails` says whether a try fails.
-fn play(requests: u64, fails: impl Fn(u64) -> bool) -> (u64, u64) {
+/// Sends requests, and returns how often one was retried, and how many failed for
+/// lack of budget. `fails` decides by the number of a try whether it fails.
+fn simulate(requests: u64, fails: impl Fn(u64) -> bool) -> (u64, u64) {
     let mut budget = RetryBudget::default();
     let service: Arc<str> = "tools".into();
-    let (mut tries, mut again, mut given_up) = (0, 0, 0);
+    let (mut tries, mut retries, mut out_of_budget) = (0, 0, 0);
     for number in 0..requests {
-        let now = Time::default() + EVERY * number as u32;
-        for left in (0..MOST_TRIES).rev() {
+        let now = Time::default() + INTERVAL * number as u32;
+        for left in (0..MAX_TRIES).rev() {
             tries += 1;
             if !fails(tries) {
                 budget.answered(now, &service);
@@ -36,13 +36,13 @@
                 break;
             }
             if !budget.take(now, &service) {
-                given_up += 1;
+                out_of_budget += 1;
                 break;
             }
-            again += 1;
+            retries += 1;
         }
     }
-    (again, given_up)
+    (retries, out_of_budget)
 }
 
 fn spend(budget: &mut RetryBudget, service: &Arc<str>) {
@@ -52,24 +52,24 @@
 }
 
 #[test]
-fn with_one_failing_server_of_ten_all_its_requests_are_tried_again() {
-    let (again, given_up) = play(2_000, |number| number % 10 == 0);
+fn with_one_failing_server_of_ten_all_its_requests_are_retried() {
+    let (retries, out_of_budget) = simulate(2_000, |number| number % 10 == 0);
 
-    assert!(again >= 200);
-    assert_eq!(given_up, 0);
+    assert!(retries >= 200);
+    assert_eq!(out_of_budget, 0);
 }
 
 #[test]
-fn in_a_brown_out_of_all_servers_few_requests_are_tried_again() {
+fn in_a_brown_out_of_all_servers_few_requests_are_retried() {
     let requests = 2_000;
 
-    let (again, _) = play(requests, |_| true);
+    let (retries, _) = simulate(requests, |_| true);
 
-    assert!(again * 5 < requests, "{again} of {requests}");
+    assert!(retries * 5 < requests, "{retries} of {requests}");
 }
 
 #[test]
-fn a_quiet_gateway_can_try_again_after_a_brown_out() {
+fn an_idle_gateway_can_retry_after_a_brown_out() {
     let mut budget = RetryBudget::default();
     let service: Arc<str> = "tools".into();
     spend(&mut budget, &service);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_service_does_not_spend_what_another_has() {
+fn one_service_does_not_spend_the_budget_of_another() {
     let mut budget = RetryBudget::default();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
     spend(&mut budget, &one);
@@ -98,22 +98,22 @@
     })]
 
     #[test]
-    fn further_tries_are_bounded_by_answers_and_time(steps in vec(any::<(bool, u8)>(), 1..500)) {
+    fn retries_are_bounded_by_answers_and_time(steps in vec(any::<(bool, u8)>(), 1..500)) {
         let mut budget = RetryBudget::default();
         let service: Arc<str> = "tools".into();
         let mut now = Time::default();
-        let (mut answers, mut again) = (0, 0);
+        let (mut answers, mut retries) = (0, 0);
         for (answer, wait) in steps {
             now = now + Duration::from_millis(wait.into());
             if answer {
                 answers += 1;
                 budget.answered(now, &service);
             } else if budget.take(now, &service) {
-                again += 1;
+                retries += 1;
             }
         }
 
         let most = 20.0 + 0.2 * f64::from(answers) + now.as_secs_f64();
-        prop_assert!(f64::from(again) <= most, "{again} of {most}");
+        prop_assert!(f64::from(retries) <= most, "{retries} of {most}");
     }
 }
--- a/lib/tests/urgency.rs
+++ b/lib/tests/urgency.rs
@@ -1,6 +1,7 @@
-//! A burst at engines: 1.6 times as many programs as they have places for, for
-//! six seconds. The figures are those of the sheets: four turns of 0.3 s with
-//! as much between them, and a program may take 1.4 times that and 0.25 s.
+//! Simulates a burst at engines: 1.6 times as many programs as the engines have
+//! slots for, for six seconds. The figures come from the requirements: four turns
+//! of 0.3 s with pauses as long between them, and a time limit of 1.4 times the
+//! total plus 0.25 s.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,85 +11,85 @@
 use limpetferry_lib::urgency::rank;
 
 /// Requests that the engines run at once.
-const PLACES: usize = 40;
-/// Length of a turn, and of what a program does between two, in ms.
-const TURN: u64 = 300;
+const SLOTS: usize = 40;
+/// Duration of a turn, and of the pause between two turns.
+const TURN_MS: u64 = 300;
 /// Turns of a program.
 const TURNS: u64 = 4;
-/// What a program takes if it never waits, in ms.
-const IDLE: u64 = TURN * (2 * TURNS - 1);
-/// Time that a program may take, in ms.
-const AIM: u64 = IDLE * 14 / 10 + 250;
-/// Time between two programs in the burst and after it, in thousandths of a
-/// millisecond: the engines can do one each 30 ms.
-const BURST_EVERY: u64 = 18_700;
-const QUIET_EVERY: u64 = 45_000;
+/// Duration of a program that never waits.
+const IDLE_MS: u64 = TURN_MS * (2 * TURNS - 1);
+/// Time limit of a program.
+const TIME_LIMIT_MS: u64 = IDLE_MS * 14 / 10 + 250;
+/// Time between two programs in the burst and after it; the engines can serve one
+/// program every 30 ms.
+const BURST_INTERVAL_US: u64 = 18_700;
+const QUIET_INTERVAL_US: u64 = 45_000;
 const BURST_MS: u64 = 6_000;
 const END_MS: u64 = 20_000;
 
-/// Plays the burst, and returns the programs in time of those that began in it
-/// and of those that began after it, as parts of a hundred.
-fn play(rank: impl Fn(Duration) -> u8) -> (usize, usize) {
-    let born: Vec<u64> = births();
+/// Simulates the burst, and returns the percentages of programs in time among
+/// those that began during the burst and among those that began after it.
+fn simulate(rank: impl Fn(Duration) -> u8) -> (usize, usize) {
+    let started: Vec<u64> = arrival_times();
     let mut waiting: BTreeMap<(u8, u64, usize), u64> = BTreeMap::new();
     let mut running: BTreeMap<(u64, usize), u64> = BTreeMap::new();
-    let mut coming: BTreeMap<(u64, usize), u64> = BTreeMap::new();
-    coming.extend(born.iter().enumerate().map(|(id, &at)| ((at, id), 0)));
-    let mut in_time = vec![false; born.len()];
-    for now in 0..END_MS + 10 * IDLE {
+    let mut scheduled: BTreeMap<(u64, usize), u64> = BTreeMap::new();
+    scheduled.extend(started.iter().enumerate().map(|(id, &at)| ((at, id), 0)));
+    let mut in_time = vec![false; started.len()];
+    for now in 0..END_MS + 10 * IDLE_MS {
         while let Some((&(at, id), &turn)) = running.first_key_value()
             && at <= now
         {
             running.pop_first();
             if turn + 1 < TURNS {
-                coming.insert((now + TURN, id), turn + 1);
+                scheduled.insert((now + TURN_MS, id), turn + 1);
             } else {
-                in_time[id] = now <= born[id] + AIM;
+                in_time[id] = now <= started[id] + TIME_LIMIT_MS;
             }
         }
-        while let Some((&(at, id), &turn)) = coming.first_key_value()
+        while let Some((&(at, id), &turn)) = scheduled.first_key_value()
             && at <= now
         {
-            coming.pop_first();
-            let left = Duration::from_millis((born[id] + AIM).saturating_sub(now));
+            scheduled.pop_first();
+            let left = Duration::from_millis((started[id] + TIME_LIMIT_MS).saturating_sub(now));
             waiting.insert((rank(left), now, id), turn);
         }
-        while running.len() < PLACES
+        while running.len() < SLOTS
             && let Some(((_, _, id), turn)) = waiting.pop_first()
         {
-            running.insert((now + TURN, id), turn);
+            running.insert((now + TURN_MS, id), turn);
         }
     }
     let share = |of: &dyn Fn(u64) -> bool| {
-        let those: Vec<bool> = born
+        let selected: Vec<bool> = started
             .iter()
             .zip(&in_time)
             .filter(|(at, _)| of(**at))
             .map(|(_, good)| *good)
             .collect();
-        those.iter().filter(|good| **good).count() * 100 / those.len()
+        selected.iter().filter(|good| **good).count() * 100 / selected.len()
     };
     (share(&|at| at < BURST_MS), share(&|at| at >= BURST_MS))
 }
 
-fn births() -> Vec<u64> {
+fn arrival_times() -> Vec<u64> {
     let mut at = 0;
-    let mut born = Vec::new();
+    let mut started = Vec::new();
     while at < END_MS * 1_000 {
-        born.push(at / 1_000);
+        started.push(at / 1_000);
         at += if at < BURST_MS * 1_000 {
-            BURST_EVERY
+            BURST_INTERVAL_US
         } else {
-            QUIET_EVERY
+            QUIET_INTERVAL_US
         };
     }
-    born
+    started
 }
 
 #[test]
 fn programs_after_a_burst_are_in_time_if_late_ones_come_last() {
-    let (burst, after) = play(|left| rank(0, Some(left)));
-    let (burst_alike, after_alike) = play(|_| 0);
+    let (burst, after) = simulate(|left| rank(0, Some(left)));
+    let (burst_alike, after_alike) = simulate(|_| 0);
 
     println!("in the burst: {burst} of 100, {burst_alike} without ranks");
     println!("after it: {after} of 100, {after_alike} without ranks");
