--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -573,10 +573,8 @@
         places: vec![place],
         ..report("reader", 0)
     };
-    let mut take = |millis, node, reported: &LoadReport| {
-        map.take(at(millis), &start(node, 1), reported, &none)
-            .places
-    };
+    let mut take =
+        |millis, node, sent: &LoadReport| map.take(at(millis), &start(node, 1), sent, &none).places;
     let idle = report("other", 0);
     take(0, "other", &idle);
 
