--- a/lib/src/ask.rs
+++ b/lib/src/ask.rs
@@ -1,4 +1,4 @@
-//! Messages between an entry and a keeper, and between keepers.
+//! Messages between gateways and keepers, and between keepers.
 
 use std::sync::Arc;
 
@@ -21,11 +21,11 @@
 use crate::opening::View;
 use crate::place::Place;
 
-/// Matches answers to what was asked, on one link.
+/// Matches replies to requests on one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ticket(pub u64);
 
-/// An item of the platform's store as one process last read it.
+/// A key-value pair of the platform's store, as last read by one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
     /// The key.
@@ -36,94 +36,94 @@
     pub revision: u64,
 }
 
-/// What one process knows from the platform's store.
+/// A copy of the platform's store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Revision of the store up to which it is complete.
+    /// Revision of the store up to which the copy is complete.
     pub revision: u64,
     /// The items.
     pub items: Vec<Stored>,
 }
 
-/// A change of what the platform's store holds.
+/// A change in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The key.
     pub key: String,
-    /// The value; `None` if the item was removed.
+    /// The new value; `None` if the key was removed.
     pub value: Option<Bytes>,
     /// Revision of the change.
     pub revision: u64,
-    /// Whether it was removed while the store was away, so that its owner may
-    /// live and write it anew.
+    /// Whether the key expired during an outage of the store, so that its owner
+    /// may still be running and write it again.
     pub lapsed: bool,
 }
 
-/// What a keeper is asked.
+/// A request to a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// Note a turn, say what is known of its program, and put it on disk.
+    /// Record the start of a turn on disk, and return the view of its program.
     Note {
         /// The turn.
         begin: Begin,
-        /// Whether the chain before it is wanted too.
+        /// Whether to return the chain before the turn as well.
         chain: bool,
         /// Epoch of the list by which the keeper was chosen.
         epoch: u64,
     },
-    /// Say once more what is known of a program but for one turn.
+    /// Return the current view of a program, excluding one turn.
     Look {
         /// The program.
         program: Arc<str>,
-        /// The turn to leave out.
+        /// The turn to exclude.
         turn: Arc<str>,
     },
-    /// Put the end of a turn on disk.
+    /// Record the end of a turn on disk.
     End {
-        /// The turn's beginning, if the keeper may lack it.
+        /// The start of the turn, if the keeper may not have it.
         begin: Option<Begin>,
-        /// Its end.
+        /// The end of the turn.
         finish: Finish,
-        /// Where its prompt is kept, if it ran.
+        /// Which server caches its prompt, if it ran.
         place: Option<Place>,
         /// Epoch of the list by which the keeper was chosen.
         epoch: u64,
     },
-    /// Give a turn and those before it.
+    /// Return a turn and its predecessors.
     Chain {
         /// The latest turn.
         turn: Arc<str>,
     },
-    /// Give the digests of the programs after `after`, in the order of their
-    /// ids.
+    /// Return digests of programs in the order of their ids, starting after
+    /// `after`.
     Digests {
-        /// The last program that the asker has a digest of.
+        /// Id of the last program that the sender has a digest of.
         after: Option<Arc<str>>,
-        /// The list as the asker knows it; older ones no longer hold.
+        /// The sender's list of keepers; it replaces an older list at the receiver.
         membership: Membership,
     },
-    /// Give the records of programs.
+    /// Return the records of programs.
     Records {
-        /// The programs.
+        /// Ids of the programs.
         programs: Vec<Arc<str>>,
     },
-    /// Give what has changed in the platform's store since `after`, or wait a
-    /// while for it.
+    /// Return the changes of the platform's store since `after`; wait a limited
+    /// time if there are none yet.
     Follow {
-        /// Revision of the store up to which the asker knows it.
+        /// Revision up to which the sender's copy of the store is complete.
         after: u64,
     },
-    /// Change the list of keepers as the asker needs it.
+    /// Apply the sender's request to change the list of keepers.
     List(ListRequest),
-    /// Count what a gateway sent of workspaces, and say whether it may send
-    /// more.
+    /// Count the requests that a gateway sent for workspaces, and decide whether it
+    /// may send more.
     Spend(Vec<Use>),
-    /// Take what a gateway reports of load, and say what others reported.
+    /// Store a gateway's load report, and return the reports of other gateways.
     Load(LoadReport),
 }
 
 impl Question {
-    /// Returns its name in metrics.
+    /// Returns the label of the request in metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Note { .. } => "note",
@@ -140,79 +140,81 @@
     }
 }
 
-/// What a keeper answers.
+/// A reply of a keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The turn is noted.
+    /// The start of the turn is recorded.
     Noted {
-        /// What else is known of the program.
+        /// The view of the program.
         view: View,
-        /// The chain before the turn, the latest first, if it was wanted.
+        /// The chain before the turn, the latest first, if it was requested.
         chain: Vec<Link>,
-        /// Where the program's prompts are kept, the latest last.
+        /// Servers that cache the program's prompts, the latest last.
         places: Vec<Place>,
     },
-    /// What is known of the program now.
+    /// The current view of the program.
     Seen(View),
-    /// What was to be put on disk is there.
+    /// The requested write is on disk.
     Synced,
     /// A chain, the latest turn first.
     Chain {
-        /// Whether the turn is here.
+        /// Whether the keeper stores the turn.
         presence: Presence,
-        /// It and those before it.
+        /// The turn and its predecessors.
         links: Vec<Link>,
     },
-    /// Digests for a keeper that catches up.
+    /// Digests, for a keeper that is catching up.
     Digests {
-        /// Whether the giver has everything that it ever acknowledged.
+        /// Whether the sender has lost nothing that it ever acknowledged.
         whole: bool,
-        /// The programs.
+        /// The digests.
         programs: Vec<ProgramDigest>,
-        /// Whether there are more after the last one.
+        /// Whether more follow after the last one.
         more: bool,
     },
-    /// Records for a keeper that catches up, of the first programs asked for.
+    /// Records of the first of the requested programs, for a keeper that is
+    /// catching up.
     Records {
         /// The records.
         records: Vec<Record>,
-        /// How many programs they belong to.
+        /// Number of programs that the records belong to.
         programs: usize,
     },
-    /// All that is known from the platform's store.
+    /// The keeper's copy of the platform's store.
     Snapshot {
-        /// The items.
+        /// The copy.
         snapshot: Snapshot,
-        /// Whether the store does not answer the keeper.
+        /// Whether the keeper currently gets no answer from the store.
         away: bool,
     },
-    /// What has changed in the platform's store.
+    /// Changes in the platform's store.
     Changes {
-        /// The changes, if there are any.
+        /// The changes; empty if there are none.
         changes: Vec<Change>,
         /// Revision up to which they are complete.
         revision: u64,
-        /// Whether the store does not answer the keeper, so that there may be
-        /// later ones.
+        /// Whether the keeper currently gets no answer from the store, so that later
+        /// changes may exist.
         away: bool,
     },
-    /// The change is made together with those of others, if the store takes it.
+    /// The change of the list was accepted; it is written to the store in one batch
+    /// with those of other keepers, which may still fail.
     Taken,
-    /// The asker goes by an old list.
+    /// The sender's list of keepers is outdated; this is the current one.
     Stale(Membership),
-    /// The keeper cannot do it now.
+    /// The keeper cannot serve the request now.
     Failed(String),
-    /// What comes of what was sent, in the order in which it was told.
+    /// Results for the workspaces, in the order of the request.
     Spent(Vec<UseReply>),
-    /// What other gateways reported of load.
+    /// Load reported by other gateways.
     Loads(LoadSummary),
 }
 
-/// A message on a link to or between keepers.
+/// A message on a link to a keeper or between keepers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeeperMessage {
-    /// A question.
+    /// A request.
     Ask(Ticket, Question),
-    /// An answer to one; a question may have two.
+    /// A reply; a request may get two.
     Tell(Ticket, Reply),
 }
--- a/lib/src/chains.rs
+++ b/lib/src/chains.rs
@@ -1,5 +1,5 @@
-//! Chains of turns that a gateway has seen, so that it need not ask keepers
-//! for them. A turn that has ended never changes.
+//! A gateway's cache of turns, which saves requests to keepers. Turns that have
+//! ended are immutable, so that entries never become stale.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,32 +9,33 @@
 
 use crate::ledger::Link;
 
-/// A bounded store of turns; the older half goes when the younger is full.
+/// A cache of limited size with two generations: when the young generation
+/// reaches half of the size, it replaces the old one.
 #[derive(Clone, Debug)]
 pub struct Chains {
-    most: usize,
+    max_bytes: usize,
     young: HashMap<Arc<str>, Link>,
     young_bytes: usize,
     old: HashMap<Arc<str>, Link>,
 }
 
 impl Chains {
-    /// Makes an empty store of at most `most` bytes of text.
-    pub fn new(most: usize) -> Self {
+    /// Creates an empty cache for at most `max_bytes` bytes of text.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            most,
+            max_bytes,
             young: HashMap::new(),
             young_bytes: 0,
             old: HashMap::new(),
         }
     }
 
-    /// Takes a turn.
+    /// Adds a turn.
     pub fn put(&mut self, link: Link) {
         if self.young.contains_key(&link.turn) {
             return;
         }
-        if self.young_bytes + link.text.len() > self.most / 2 {
+        if self.young_bytes + link.text.len() > self.max_bytes / 2 {
             self.old = std::mem::take(&mut self.young);
             self.young_bytes = 0;
         }
@@ -51,7 +52,7 @@
         Some(link)
     }
 
-    /// Returns whether a turn and all those before it are here.
+    /// Returns whether a turn and all its predecessors are cached.
     pub fn has_chain(&self, turn: &str) -> bool {
         let mut next = Some(turn);
         while let Some(id) = next {
@@ -63,13 +64,12 @@
         true
     }
 
-    /// Returns what a server is to receive for a turn that continues from
-    /// `previous`: the texts of the whole chain, oldest first, then the new
-    /// input; or the first turn that is missing.
+    /// Returns the prompt to send to a server for a turn that continues from
+    /// `previous`: the texts of the whole chain, oldest first, then the new input.
     ///
     /// # Errors
     ///
-    /// Returns the id of the turn that is not here.
+    /// Returns the id of the first turn that is not cached.
     pub fn prompt(
         &mut self,
         previous: Option<&Arc<str>>,
@@ -86,11 +86,11 @@
             texts.push(link.text);
         }
         let history: usize = texts.iter().map(Bytes::len).sum();
-        let mut whole = BytesMut::with_capacity(history + input.len());
+        let mut prompt_text = BytesMut::with_capacity(history + input.len());
         for text in texts.iter().rev() {
-            whole.extend_from_slice(text);
+            prompt_text.extend_from_slice(text);
         }
-        whole.extend_from_slice(input);
-        Ok(whole.freeze())
+        prompt_text.extend_from_slice(input);
+        Ok(prompt_text.freeze())
     }
 }
--- a/lib/src/ledger.rs
+++ b/lib/src/ledger.rs
@@ -1,5 +1,5 @@
-//! What one keeper knows of programs: their turns, what each was given and
-//! gave, and the tokens that it used or may still use.
+//! In-memory state of one keeper: the turns of each program with their inputs
+//! and outputs, and the tokens that each turn has used or may still use.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -15,48 +15,48 @@
 use crate::place::Places;
 use crate::time::Time;
 
-/// A turn that is about to run.
+/// The start of a turn, recorded before it runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Begin {
-    /// Id of the turn: that of the attempt.
+    /// Id of the turn; equal to the id of the attempt.
     pub turn: Arc<str>,
-    /// Its program.
+    /// Id of its program.
     pub program: Arc<str>,
-    /// The turn that it continues from.
+    /// The turn whose history it continues.
     pub previous: Option<Arc<str>>,
-    /// What the caller sent anew; empty where no history is kept.
+    /// New input from the caller; empty where no history is stored.
     pub input: Bytes,
-    /// Most tokens that it may hand out.
+    /// Maximum number of tokens that it may output.
     pub most: u64,
 }
 
-/// A turn that has ended.
+/// The end of a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finish {
     /// Id of the turn.
     pub turn: Arc<str>,
-    /// Its program.
+    /// Id of its program.
     pub program: Arc<str>,
-    /// Data of its events, a line feed after each; empty where no history is
-    /// kept.
+    /// Data of its events, each followed by a line feed; empty where no history
+    /// is stored.
     pub output: Bytes,
-    /// Tokens that were handed out.
+    /// Tokens that were output.
     pub used: u64,
-    /// Whether the answer was whole, so that others may continue from it.
+    /// Whether the answer is complete, so that other turns may continue from it.
     pub whole: bool,
 }
 
-/// A change that is kept.
+/// A durable change of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A turn is about to run.
+    /// A turn starts.
     Begin(Begin),
-    /// A turn has ended.
+    /// A turn ends.
     Finish(Finish),
 }
 
 impl Record {
-    /// Returns the program that it belongs to.
+    /// Returns the id of the program that the record belongs to.
     pub fn program(&self) -> &Arc<str> {
         match self {
             Self::Begin(begin) => &begin.program,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the bytes of its texts, for bounds on memory.
+    /// Returns the number of bytes of input or output, for limits on memory.
     pub fn size(&self) -> usize {
         match self {
             Self::Begin(begin) => begin.input.len(),
@@ -73,45 +73,48 @@
     }
 }
 
-/// What one turn counts against its program's budget.
+/// Tokens that one turn charges to its program's budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// Id of the turn.
     pub turn: Arc<str>,
-    /// Tokens that it used, or the most that it may use.
+    /// Tokens that it used, or the maximum while it has not ended.
     pub tokens: u64,
     /// Whether it has ended.
     pub ended: bool,
 }
 
-/// One turn of a chain, as a server is to receive it.
+/// One turn of a chain, in the form that is sent to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
     /// Id of the turn.
     pub turn: Arc<str>,
-    /// The turn before.
+    /// The previous turn of the chain.
     pub previous: Option<Arc<str>>,
     /// Its input, then its output.
     pub text: Bytes,
 }
 
-/// Whether a keeper has a turn.
+/// Whether a keeper stores a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Presence {
-    /// It has it whole.
+    /// The complete turn is stored.
     Here,
-    /// It has everything that it ever acknowledged, and this is not in it.
+    /// The keeper has lost nothing that it acknowledged, and the turn is not
+    /// stored: it never acknowledged it.
     Never,
-    /// It may have lost it.
+    /// The turn is not stored, but the keeper may have lost it.
     Unsure,
 }
 
-/// What a keeper has of one program, short enough to compare many.
+/// Digest of a keeper's records of one program, so that keepers can compare
+/// many programs in one message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramDigest {
     /// Id of the program.
     pub program: Arc<str>,
-    /// The same for the same beginnings and ends of turns, in any order.
+    /// Equal for equal sets of recorded starts and ends of turns, independent
+    /// of their order.
     pub digest: u64,
 }
 
@@ -142,13 +145,13 @@
 #[derive(Clone, Debug)]
 struct ProgramTurns {
     turns: Vec<Arc<str>>,
-    active: Time,
-    /// Where its prompts are kept; not on disk, since a turn without it only
-    /// takes longer.
+    last_active: Time,
+    /// Servers that cache its prompts. Not written to disk: a turn without this
+    /// information only takes longer.
     places: Places,
 }
 
-/// The turns that one keeper has.
+/// All turns that one keeper stores.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     turns: HashMap<Arc<str>, Turn>,
@@ -157,8 +160,8 @@
 }
 
 impl Ledger {
-    /// Takes a record; one that is there already changes nothing. Returns
-    /// whether it was new.
+    /// Applies a record and returns whether it was new; a duplicate changes
+    /// nothing.
     pub fn apply(&mut self, now: Time, record: Record) -> bool {
         let id = match &record {
             Record::Begin(begin) => begin.turn.clone(),
@@ -168,10 +171,10 @@
         let size = record.size();
         let program = self.programs.entry(name.clone()).or_insert(ProgramTurns {
             turns: Vec::new(),
-            active: now,
+            last_active: now,
             places: Places::default(),
         });
-        program.active = program.active.max(now);
+        program.last_active = program.last_active.max(now);
         let turn = self.turns.entry(id.clone()).or_insert_with(|| {
             program.turns.push(id);
             Turn {
@@ -181,8 +184,8 @@
             }
         });
         let new = match record {
-            Record::Begin(begin) => fill(&mut turn.begin, begin),
-            Record::Finish(finish) => fill(&mut turn.finish, finish),
+            Record::Begin(begin) => set_if_none(&mut turn.begin, begin),
+            Record::Finish(finish) => set_if_none(&mut turn.finish, finish),
         };
         if new {
             self.bytes += size;
@@ -190,13 +193,13 @@
         new
     }
 
-    /// Returns what each turn of a program counts against its budget, but for
-    /// the turn `without`.
-    pub fn shares(&self, program: &str, without: &str) -> Vec<Share> {
+    /// Returns the tokens that each turn of a program charges to its budget,
+    /// except those of the turn `excluded`.
+    pub fn shares(&self, program: &str, excluded: &str) -> Vec<Share> {
         let Some(program) = self.programs.get(program) else {
             return Vec::new();
         };
-        let others = program.turns.iter().filter(|turn| &***turn != without);
+        let others = program.turns.iter().filter(|turn| &***turn != excluded);
         others
             .map(|id| {
                 let turn = &self.turns[id];
@@ -209,21 +212,22 @@
             .collect()
     }
 
-    /// Takes where a prompt of a program that is here is kept.
+    /// Stores which server caches a prompt of a program; ignored if the program
+    /// is unknown.
     pub fn put_place(&mut self, program: &str, place: Place) {
         if let Some(program) = self.programs.get_mut(program) {
             program.places.put(place);
         }
     }
 
-    /// Returns where the prompts of a program are kept.
+    /// Returns the servers that cache prompts of a program.
     pub fn places(&self, program: &str) -> &[Place] {
         let program = self.programs.get(program);
         program.map_or(&[], |program| program.places.all())
     }
 
-    /// Returns a turn and those before it, the latest first, up to the first
-    /// one that is not here or that is in `known`.
+    /// Returns a turn and its predecessors, the latest first. The chain ends
+    /// before the first turn that is not stored or for which `known` is true.
     pub fn chain(&self, turn: &str, known: impl Fn(&str) -> bool) -> Vec<Link> {
         let mut links = Vec::new();
         let mut next = Some(Arc::<str>::from(turn));
@@ -237,42 +241,42 @@
         links
     }
 
-    /// Returns whether the beginning of a turn is here.
+    /// Returns whether the start of a turn is stored.
     pub fn has_begun(&self, turn: &str) -> bool {
         let turn = self.turns.get(turn);
         turn.is_some_and(|turn| turn.begin.is_some())
     }
 
-    /// Returns whether a turn is here and whole.
+    /// Returns whether a turn is stored and complete.
     pub fn has(&self, turn: &str) -> bool {
         let turn = self.turns.get(turn);
         turn.is_some_and(|turn| turn.link().is_some())
     }
 
-    /// Keeps the program of a turn for another retention, as another program
-    /// continues from it.
+    /// Restarts the retention period of the program of a turn, because another
+    /// program continues from that turn.
     pub fn touch(&mut self, now: Time, turn: &str) {
         let Some(turn) = self.turns.get(turn) else {
             return;
         };
         if let Some(program) = self.programs.get_mut(&turn.program) {
-            program.active = program.active.max(now);
+            program.last_active = program.last_active.max(now);
         }
     }
 
-    /// Drops the programs that were last active longer ago than `retention`.
-    /// Returns how many.
+    /// Removes programs that have been inactive for longer than `retention`, and
+    /// returns their number.
     pub fn expire(&mut self, now: Time, retention: Duration) -> usize {
-        let old: HashSet<Arc<str>> = self
+        let expired: HashSet<Arc<str>> = self
             .programs
             .iter()
-            .filter(|(_, program)| now.since(program.active) > retention)
+            .filter(|(_, program)| now.since(program.last_active) > retention)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &old {
+        for id in &expired {
             self.drop_program(id);
         }
-        old.len()
+        expired.len()
     }
 
     fn drop_program(&mut self, id: &str) {
@@ -293,7 +297,7 @@
         self.programs.keys()
     }
 
-    /// Returns the records of a program.
+    /// Returns all records of a program.
     pub fn records(&self, program: &str) -> Vec<Record> {
         let turns = self.programs.get(program).map(|program| &program.turns);
         let mut records = Vec::new();
@@ -305,30 +309,30 @@
         records
     }
 
-    /// Returns the digest of what is here of a program, zero if nothing is.
+    /// Returns the digest of a program's records, zero if there are none.
     pub fn digest(&self, program: &str) -> u64 {
         let turns = self.programs.get(program).map(|program| &program.turns);
         let each = turns.into_iter().flatten().map(|id| {
             let turn = &self.turns[id];
             let begun = u64::from(turn.begin.is_some());
             let ended = u64::from(turn.finish.is_some());
-            let mark = begun + 2 * ended;
-            hash::spread(id.bytes()).wrapping_mul(2 * mark + 1)
+            let state = begun + 2 * ended;
+            hash::spread(id.bytes()).wrapping_mul(2 * state + 1)
         });
         each.fold(0, u64::wrapping_add)
     }
 
-    /// Returns digests of at most `most` programs after `after`, in the order
-    /// of their ids, and whether there are more.
-    pub fn digests(&self, after: Option<&str>, most: usize) -> (Vec<ProgramDigest>, bool) {
+    /// Returns the digests of at most `limit` programs in the order of their ids,
+    /// starting after the id `after`, and whether more programs follow.
+    pub fn digests(&self, after: Option<&str>, limit: usize) -> (Vec<ProgramDigest>, bool) {
         let mut programs: Vec<&Arc<str>> = self
             .programs
             .keys()
             .filter(|program| after.is_none_or(|after| ***program > *after))
             .collect();
         programs.sort_unstable();
-        let more = programs.len() > most;
-        programs.truncate(most);
+        let more = programs.len() > limit;
+        programs.truncate(limit);
         let digests = programs.into_iter().map(|program| ProgramDigest {
             program: program.clone(),
             digest: self.digest(program),
@@ -336,7 +340,7 @@
         (digests.collect(), more)
     }
 
-    /// Returns the bytes of all texts.
+    /// Returns the number of bytes of all inputs and outputs.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -352,7 +356,7 @@
     }
 }
 
-fn fill<T>(slot: &mut Option<T>, value: T) -> bool {
+fn set_if_none<T>(slot: &mut Option<T>, value: T) -> bool {
     let new = slot.is_none();
     slot.get_or_insert(value);
     new
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,8 +1,9 @@
-//! Which keepers there are, and which of them hold a program's turns.
+//! Membership of the keepers, and the placement of programs on them.
 //!
-//! A turn counts when a majority of its program's replicas has it on disk, so
-//! any two majorities share a keeper. While the list of keepers changes, the
-//! replicas of both lists count, each with a majority of its own.
+//! A turn is committed when a majority of its program's replicas has it on
+//! disk, so any two majorities share a keeper. While the list of keepers
+//! changes, a turn needs a majority of the replicas by the old list and one of
+//! those by the new list (joint consensus).
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,48 +14,49 @@
 
 use crate::hash;
 
-/// Stands for the platform's store where the keepers that watch it are chosen
-/// as a program's replicas are.
-const WATCHED: &str = "platform store";
+/// Name that is hashed to select the keepers that watch the platform's store,
+/// in the same way as a program's id is hashed to select its replicas.
+const STORE_WATCH_NAME: &str = "platform store";
 
-/// What a change of the list makes of a keeper.
+/// Role of a keeper in a change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It is in the list before and after the change.
+    /// In the list before and after the change.
     Member,
-    /// It comes with the change.
+    /// Added by the change.
     Joining,
-    /// It goes with the change.
+    /// Removed by the change.
     Leaving,
 }
 
 /// One keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Keeper {
-    /// Name of its process.
+    /// Name of the process.
     pub node: Arc<str>,
-    /// Its address for the system's other processes.
+    /// Address for the system's other processes.
     pub address: SocketAddr,
-    /// What a change makes of it.
+    /// Role in the current change of the list.
     pub standing: Standing,
-    /// Whether it has all that the list after the change asks of it.
+    /// Whether it has copied all turns that it has to store by the list after the
+    /// change.
     pub ready: bool,
 }
 
-/// A change of the list that a keeper asks for, about itself.
+/// A change of the list that a keeper requests for itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListRequest {
-    /// It comes.
+    /// The keeper joins.
     Join {
-        /// Its name.
+        /// Name of the keeper.
         node: Arc<str>,
-        /// Its address for the system's other processes.
+        /// Address for the system's other processes.
         address: SocketAddr,
     },
-    /// It has copied all that it has to hold.
+    /// The keeper has copied all turns that it has to store.
     Ready {
-        /// Its name.
+        /// Name of the keeper.
         node: Arc<str>,
         /// [`Membership::moved`] of the list by which it copied.
         moved: u64,
@@ -64,99 +66,107 @@
 /// The list of keepers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Number of the list; later ones are larger.
+    /// Version of the list; grows with each change.
     pub epoch: u64,
-    /// Epoch of the last list by which keepers that stay got programs that they
-    /// did not hold. What was copied by that list or a later one need not be
-    /// copied again: since then every turn came to all that have to hold it.
+    /// Epoch of the latest list that assigned programs to remaining keepers which
+    /// did not store them before. What was copied by that list or a later one
+    /// need not be copied again: since then every turn has been sent to all
+    /// keepers that have to store it.
     #[serde(default)]
     pub moved: u64,
-    /// Whether turns may be kept: enough keepers came once.
+    /// Whether turns may be stored; set once enough keepers have joined.
     pub open: bool,
-    /// The keepers, in the order in which they came.
+    /// The keepers, in the order in which they joined.
     pub keepers: Vec<Keeper>,
 }
 
 /// The replicas of one program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replicas {
-    /// Places in the list of keepers, nearest to the program first.
+    /// Indices in the list of keepers, highest rendezvous weight first.
     pub keepers: Vec<usize>,
     before: Vec<usize>,
     after: Vec<usize>,
 }
 
 impl Replicas {
-    /// Returns whether `have` holds a majority of the replicas before and of
-    /// those after the change.
+    /// Returns whether `have` is true for a majority of the replicas before the
+    /// change and for a majority of those after it.
     pub fn majority(&self, have: impl Fn(usize) -> bool) -> bool {
-        let most = |set: &[usize]| {
+        let has_majority = |set: &[usize]| {
             let count = set.iter().filter(|&&at| have(at)).count();
             count > set.len() / 2
         };
-        !self.keepers.is_empty() && most(&self.before) && most(&self.after)
+        !self.keepers.is_empty() && has_majority(&self.before) && has_majority(&self.after)
     }
 }
 
 impl Membership {
-    /// Returns whether a change is under way.
+    /// Returns whether a change of the list is in progress.
     pub fn is_changing(&self) -> bool {
         let mut keepers = self.keepers.iter();
         keepers.any(|keeper| keeper.standing != Standing::Member)
     }
 
-    /// Returns how many other keepers may stay silent while `node` copies what
-    /// it has to hold, so that it still hears of every turn that counts. A
-    /// keeper that `had` programs and lost them needs one voice more: its own
-    /// was among those that made a turn count.
-    pub fn may_miss(&self, node: &str, had: bool, faults: usize) -> usize {
+    /// Returns how many other keepers may be missing while `node` copies what it
+    /// has to store, such that it still receives every committed turn. A keeper
+    /// that lost its data (`lost_data`) needs one more source: its own
+    /// acknowledgement may have been part of a turn's majority.
+    pub fn may_miss(&self, node: &str, lost_data: bool, faults: usize) -> usize {
         let before = self.keepers.iter();
         let before = before.filter(|keeper| keeper.standing != Standing::Joining);
         let set = before.count().min(2 * faults + 1);
         let majority = set / 2 + 1;
-        let own = had && self.place(node).is_some();
+        let own = lost_data && self.place(node).is_some();
         majority.saturating_sub(if own { 2 } else { 1 })
     }
 
-    /// Returns whether a keeper that does not hear of the keepers `unheard` is
-    /// rather cut off itself, since more are than may be lost at once. What it
-    /// says of the platform's store is not to be relied on then: its watch may
-    /// have been silent for as long.
-    pub fn is_cut_off(&self, unheard: &[Arc<str>], faults: usize) -> bool {
+    /// Returns whether a keeper that cannot reach the keepers `unreachable` is
+    /// probably isolated itself, because they are more than may fail at once. Its
+    /// data from the platform's store is then not to be relied on: its watch may
+    /// have been interrupted for as long.
+    pub fn is_cut_off(&self, unreachable: &[Arc<str>], faults: usize) -> bool {
         let lost = self.staying();
-        let lost = lost.filter(|keeper| unheard.contains(&keeper.node));
+        let lost = lost.filter(|keeper| unreachable.contains(&keeper.node));
         lost.count() > faults
     }
 
-    /// Returns a keeper to take off the list, of those that were `silent` for
-    /// long, if enough stay without it. `unheard` are all that are not heard of
-    /// now: if more than `faults` are, the asker is rather the one that is cut
-    /// off, and the others decide.
+    /// Returns a keeper to remove from the list, one of those that `timed_out`, if
+    /// enough remain without it. `unreachable` are all keepers that cannot be
+    /// reached now: if they are more than `faults`, the caller is probably
+    /// isolated itself and leaves the decision to the others.
     pub fn replaceable(
         &self,
-        silent: &[Arc<str>],
-        unheard: &[Arc<str>],
+        timed_out: &[Arc<str>],
+        unreachable: &[Arc<str>],
         faults: usize,
     ) -> Option<&Keeper> {
-        if self.staying().count() <= 2 * faults + 1 || self.is_cut_off(unheard, faults) {
+        if self.staying().count() <= 2 * faults + 1 || self.is_cut_off(unreachable, faults) {
             return None;
         }
-        self.staying().find(|keeper| silent.contains(&keeper.node))
+        self.staying()
+            .find(|keeper| timed_out.contains(&keeper.node))
     }
 
-    /// Returns the list without the keepers that are `unheard`, if only one is
-    /// left and it has all that counts; `None` otherwise. That is so with two
-    /// keepers: a majority of two is both. With more, one that is left may have
-    /// lost its disk, and what counts may be at those that are unheard alone.
+    /// Returns the list without the `unreachable` keepers if exactly one keeper
+    /// remains and it has every committed turn; `None` otherwise. This is the case
+    /// with two keepers, since a majority of two is both. With more, the one that
+    /// remains may have lost its disk, and committed turns may be stored only by
+    /// the unreachable keepers.
     ///
-    /// After one of three keepers was emptied and taken away, the loss of one
-    /// of the two left stopped all turns for as long as it lasted.
-    pub fn without_lost(&self, unheard: &[Arc<str>], faults: usize) -> Option<Self> {
-        let lost = |keeper: &Keeper| unheard.contains(&keeper.node);
-        let gone = self.keepers.iter().filter(|keeper| lost(keeper)).count();
-        let all = self.keepers.len();
-        let is_at_each = all / 2 + 1 == all;
-        if self.is_changing() || !is_at_each || gone + 1 != all || !(1..=faults).contains(&gone) {
+    /// Without this rule, after one of three keepers had been emptied and
+    /// removed, the loss of one of the remaining two stopped all turns until it
+    /// was back.
+    pub fn without_lost(&self, unreachable: &[Arc<str>], faults: usize) -> Option<Self> {
+        let lost = |keeper: &Keeper| unreachable.contains(&keeper.node);
+        let lost_count = self.keepers.iter().filter(|keeper| lost(keeper)).count();
+        let total = self.keepers.len();
+        let majority_is_all = total / 2 + 1 == total;
+        if self.is_changing()
+            || !majority_is_all
+            || lost_count + 1 != total
+            || !(1..=faults).contains(&lost_count)
+        {
             return None;
         }
         let mut next = self.renew();
@@ -165,47 +175,48 @@
         Some(next)
     }
 
-    /// Returns whether a turn does not exist, since so many keepers `never` had
-    /// it that too few are left for a majority of its replicas. The voices of those
-    /// that join do not count: they may hold an earlier state, and have not copied
-    /// yet.
+    /// Returns whether a turn certainly does not exist: so many keepers `never`
+    /// stored it that the others are too few for a majority of its replicas.
+    /// Answers of joining keepers are not counted: they may have an earlier state
+    /// and have not copied yet.
     pub fn denies(&self, never: &HashSet<Arc<str>>, faults: usize) -> bool {
         let members = || {
             let keepers = self.keepers.iter();
             keepers.filter(|keeper| keeper.standing != Standing::Joining)
         };
-        let voices = members().filter(|keeper| never.contains(&keeper.node));
+        let votes = members().filter(|keeper| never.contains(&keeper.node));
         let count = members().count();
         let majority = count.min(2 * faults + 1) / 2 + 1;
-        count > 0 && voices.count() + majority > count
+        count > 0 && votes.count() + majority > count
     }
 
-    /// Returns the keepers that watch the platform's store for all others, in
-    /// an order that all processes agree on: as many as a program has replicas,
-    /// so that some are left whatever may be lost. Each change of the store
-    /// costs a call a watch, so that watches must not grow with the keepers.
+    /// Returns the keepers that watch the platform's store on behalf of all
+    /// others, in the same order in every process. They are as many as a program
+    /// has replicas, so that some remain after any tolerated failure. Each change
+    /// of the store costs one call for each watch, so the number of watches must
+    /// not grow with that of the keepers.
     pub fn watchers(&self, faults: usize) -> Vec<&Keeper> {
-        let mut watchers = self.in_charge(WATCHED);
+        let mut watchers = self.in_charge(STORE_WATCH_NAME);
         watchers.truncate(2 * faults + 1);
         watchers
     }
 
-    /// Returns the keepers that stay, the one in charge of a name first, such as a
-    /// workspace's, and after it those that stand in for it.
+    /// Returns the keepers that are not leaving, ranked for a name such as that of
+    /// a workspace: first the one responsible for it, then its standbys.
     pub fn in_charge(&self, name: &str) -> Vec<&Keeper> {
         let mut staying: Vec<&Keeper> = self.staying().collect();
         staying.sort_by_cached_key(|keeper| std::cmp::Reverse(weight(&keeper.node, name)));
         staying
     }
 
-    /// Returns the keepers that no change takes away.
+    /// Returns the keepers that are not leaving.
     pub fn staying(&self) -> impl Iterator<Item = &Keeper> {
         let keepers = self.keepers.iter();
         keepers.filter(|keeper| keeper.standing != Standing::Leaving)
     }
 
-    /// Returns the list with all changes that keepers ask for; `None` if it has
-    /// them already.
+    /// Returns the list with all requested changes applied; `None` if none of them
+    /// changes it.
     pub fn with(&self, requests: &[ListRequest], faults: usize) -> Option<Self> {
         let mut next: Option<Self> = None;
         for request in requests {
@@ -220,13 +231,14 @@
         next
     }
 
-    /// Returns a keeper's place in the list.
+    /// Returns the index of a keeper in the list.
     pub fn place(&self, node: &str) -> Option<usize> {
         let mut keepers = self.keepers.iter();
         keepers.position(|keeper| &*keeper.node == node)
     }
 
-    /// Returns the replicas of a program, where `faults` may be lost at once.
+    /// Returns the replicas of a program for a cluster that tolerates the
+    /// simultaneous loss of `faults` keepers.
     pub fn replicas(&self, program: &str, faults: usize) -> Replicas {
         let mut ranked: Vec<usize> = (0..self.keepers.len()).collect();
         ranked.sort_by_key(|&at| std::cmp::Reverse(weight(&self.keepers[at].node, program)));
@@ -250,9 +262,10 @@
         }
     }
 
-    /// Returns the list with a keeper that comes; `None` if it is in it. Until
-    /// `2 * faults + 1` keepers came no turn was ever kept, and a keeper comes
-    /// without anything to catch up with.
+    /// Returns the list with a keeper added, or with its new address; `None` if it
+    /// is listed with that address already. Until `2 * faults + 1` keepers have
+    /// joined no turn is stored, so a keeper that joins before has nothing to
+    /// copy.
     pub fn join(&self, node: &str, address: SocketAddr, faults: usize) -> Option<Self> {
         let mut next = self.renew();
         if let Some(at) = self.place(node) {
@@ -276,18 +289,18 @@
         Some(next)
     }
 
-    /// Returns the same list under a new epoch, for a keeper that lost its disk:
-    /// once it copies by that one, what goes by an older list is refused, and
-    /// what it acknowledged before the loss no longer counts for turns that are
-    /// still on their way to others.
+    /// Returns the same list with a new epoch, for a keeper that lost its disk.
+    /// Once the keeper copies by the new epoch, requests by an older one are
+    /// refused, so that its acknowledgements from before the loss do not
+    /// contribute to the majority of turns that other replicas have yet to store.
     pub fn renew(&self) -> Self {
         let mut next = self.clone();
         next.epoch += 1;
         next
     }
 
-    /// Returns the list with a keeper that goes; `None` if it goes already or
-    /// is not in it.
+    /// Returns the list with a keeper marked as leaving, or without it if it was
+    /// joining; `None` if it is leaving already or not listed.
     pub fn leave(&self, node: &str) -> Option<Self> {
         let at = self.place(node)?;
         let mut next = self.renew();
@@ -299,16 +312,16 @@
             }
             Standing::Member => next.keepers[at].standing = Standing::Leaving,
         }
-        // Those that stay may get programs that they did not hold before.
+        // The remaining keepers may be assigned programs that they did not store
+        // before.
         for keeper in &mut next.keepers {
             keeper.ready = false;
         }
         Some(next)
     }
 
-    /// Returns the list in which a keeper has all that the change asks of it,
-    /// and which ends the change if it was the last one; `None` if nothing
-    /// changes.
+    /// Returns the list with a keeper marked as ready; completes the change if it
+    /// was the last one. `None` if nothing changes.
     pub fn ready(&self, node: &str) -> Option<Self> {
         let at = self.place(node)?;
         if self.keepers[at].ready || !self.is_changing() {
@@ -328,8 +341,8 @@
     }
 }
 
-/// Rendezvous hashing: the keepers with the largest weights hold the program,
-/// so a change of the list moves no more programs than it has to.
+/// Rendezvous hashing: the keepers with the largest weights store the program,
+/// so a change of the list moves the minimum of programs.
 fn weight(node: &str, program: &str) -> u64 {
     hash::spread(node.bytes().chain([0]).chain(program.bytes()))
 }
--- a/lib/src/opening.rs
+++ b/lib/src/opening.rs
@@ -1,15 +1,18 @@
-//! Whether a turn may begin: what its program's replicas say of the budget
-//! and of the turn before.
+//! Decides whether a turn may start, from the answers of its program's replicas
+//! about the budget and the previous turn.
 //!
-//! Every replica notes the turn and says what else it knows of the program. A
-//! turn goes to a server when a majority has noted it and the budget holds,
-//! and its first event goes to the caller when the same majority has it on
-//! disk. Of any two turns at least one sees the other, since any two
-//! majorities share a replica. A turn that sees `s` other tokens and may use
-//! `w` goes at once if `s + w` is at most half of the budget: summed over all
-//! pairs, some turn sees half of what is handed out. Otherwise it asks once
-//! more, after a majority has noted it: of the turns that go, the last one to
-//! ask sees all other ones.
+//! Each replica records the turn and returns its view of the program. The turn
+//! is sent to a server when a majority has recorded it and the budget suffices.
+//! Its first event is sent to the caller when the same majority has the turn on
+//! disk.
+//!
+//! Of any two turns at least one sees the other, since any two majorities share
+//! a replica. A turn that sees `s` tokens of other turns and may use `w` itself
+//! starts at once if `s + w` is at most half of the budget: summed over all pairs
+//! of turns, at least one turn sees half of all tokens that are output, so that
+//! these stay within the budget. Otherwise the turn queries the replicas a second
+//! time, after a majority has recorded it: of the turns that start, the last one
+//! to send its second query sees all others.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,70 +24,71 @@
 use crate::ledger::Share;
 use crate::membership::Replicas;
 
-/// What a replica says of a program.
+/// A replica's view of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Whether it has everything that it ever acknowledged.
+    /// Whether the replica has lost nothing that it ever acknowledged.
     pub whole: bool,
-    /// What the program's other turns count.
+    /// Tokens that the program's other turns charge to the budget.
     pub shares: Vec<Share>,
-    /// Whether it has the turn before, if one was asked for.
+    /// Whether the replica stores the previous turn, if the request named one.
     pub previous: Presence,
 }
 
-/// Something that a replica did.
+/// An event at a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It noted the turn.
+    /// It recorded the turn, and answered the first query.
     Noted(View),
-    /// It looked again, after the turn was noted by a majority.
+    /// It answered the second query, which is sent after a majority has recorded
+    /// the turn.
     Seen(View),
     /// It has the turn on disk.
     Synced,
-    /// It broke off; what it said before no longer counts.
+    /// Its connection was lost; its earlier answers are void.
     Lost,
 }
 
-/// What a turn has to do now.
+/// What the turn has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Wait for more replicas.
+    /// Wait for answers of more replicas.
     Wait,
-    /// Ask the replicas to look again.
+    /// Send the second query to the replicas.
     Ask,
-    /// Go to a server.
+    /// Start on a server.
     Go,
-    /// The budget does not hold the turn.
+    /// Refuse the turn: the budget does not suffice.
     Spent,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Slot {
+struct Answers {
     noted: Option<View>,
     seen: Option<View>,
     synced: bool,
 }
 
-/// The opening of one turn.
+/// State of the admission of one turn.
 #[derive(Clone, Debug)]
 pub struct Opening {
     replicas: Replicas,
-    slots: HashMap<usize, Slot>,
+    replies: HashMap<usize, Answers>,
     budget: Option<u64>,
     most: u64,
-    asked: bool,
+    second_query: bool,
 }
 
 impl Opening {
-    /// Begins a turn that may use `most` tokens of `budget`.
+    /// Starts the admission of a turn that may use up to `most` tokens of `budget`.
     pub fn new(replicas: Replicas, budget: Option<u64>, most: u64) -> Self {
-        let slots = replicas.keepers.iter().map(|&at| (at, Slot::default()));
+        let replies = replicas.keepers.iter().map(|&at| (at, Answers::default()));
         Self {
-            slots: slots.collect(),
+            replies: replies.collect(),
             replicas,
             budget,
             most,
-            asked: false,
+            second_query: false,
         }
     }
 
@@ -93,14 +97,14 @@
         &self.replicas
     }
 
-    /// Takes what a replica did, and says what follows.
+    /// Applies an event at the replica with index `at`, and returns what to do next.
     pub fn step(&mut self, at: usize, step: Step) -> Verdict {
-        if let Some(slot) = self.slots.get_mut(&at) {
+        if let Some(answers) = self.replies.get_mut(&at) {
             match step {
-                Step::Noted(view) => slot.noted = Some(view),
-                Step::Seen(view) => slot.seen = Some(view),
-                Step::Synced => slot.synced = true,
-                Step::Lost => *slot = Slot::default(),
+                Step::Noted(view) => answers.noted = Some(view),
+                Step::Seen(view) => answers.seen = Some(view),
+                Step::Synced => answers.synced = true,
+                Step::Lost => *answers = Answers::default(),
             }
         }
         self.verdict()
@@ -108,73 +112,87 @@
 
     fn verdict(&mut self) -> Verdict {
         let Some(budget) = self.budget else {
-            let noted = |at| self.slots[&at].noted.is_some();
+            let noted = |at| self.replies[&at].noted.is_some();
             return if self.replicas.majority(noted) {
                 Verdict::Go
             } else {
                 Verdict::Wait
             };
         };
-        if self.asked {
-            return self.after_asking(budget);
+        if self.second_query {
+            return self.second_verdict(budget);
         }
-        if !self.replicas.majority(|at| whole(&self.slots[&at].noted)) {
+        if !self
+            .replicas
+            .majority(|at| is_complete(&self.replies[&at].noted))
+        {
             return Verdict::Wait;
         }
-        if self.spent(|slot| &slot.noted) + self.most <= budget / 2 {
+        if self.tokens_of_others(|answers| &answers.noted) + self.most <= budget / 2 {
             return Verdict::Go;
         }
-        self.asked = true;
+        self.second_query = true;
         Verdict::Ask
     }
 
-    fn after_asking(&self, budget: u64) -> Verdict {
-        if !self.replicas.majority(|at| whole(&self.slots[&at].seen)) {
+    fn second_verdict(&self, budget: u64) -> Verdict {
+        if !self
+            .replicas
+            .majority(|at| is_complete(&self.replies[&at].seen))
+        {
             return Verdict::Wait;
         }
-        if self.spent(|slot| &slot.seen) + self.most <= budget {
+        if self.tokens_of_others(|answers| &answers.seen) + self.most <= budget {
             Verdict::Go
         } else {
             Verdict::Spent
         }
     }
 
-    /// Returns what the other turns count by the views that `view` chooses.
-    /// An end that one replica knows holds; it never grows again.
-    fn spent(&self, view: impl Fn(&Slot) -> &Option<View>) -> u64 {
+    /// Returns the tokens of the other turns, by the views that `view` selects. A
+    /// turn's end takes precedence even if only one replica reports it, because
+    /// the tokens of an ended turn do not change any more.
+    fn tokens_of_others(&self, view: impl Fn(&Answers) -> &Option<View>) -> u64 {
         let mut turns: HashMap<&Arc<str>, &Share> = HashMap::new();
-        let views = self.slots.values().filter_map(|slot| view(slot).as_ref());
+        let views = self
+            .replies
+            .values()
+            .filter_map(|answers| view(answers).as_ref());
         for share in views.flat_map(|view| &view.shares) {
             let known = turns.entry(&share.turn).or_insert(share);
-            let better = share.ended && !known.ended;
+            let has_ended = share.ended && !known.ended;
             let larger = share.ended == known.ended && share.tokens > known.tokens;
-            if better || larger {
+            if has_ended || larger {
                 *known = share;
             }
         }
         turns.values().map(|share| share.tokens).sum()
     }
 
-    /// Returns whether a majority that was asked has the turn on disk, so that
-    /// its first event may go to the caller.
+    /// Returns whether a majority of the replicas whose views were used has the
+    /// turn on disk, so that its first event may be sent to the caller.
     pub fn is_durable(&self) -> bool {
         self.replicas.majority(|at| {
-            let slot = &self.slots[&at];
-            let view = if self.asked { &slot.seen } else { &slot.noted };
-            slot.synced && (self.budget.is_none() || whole(view))
+            let answers = &self.replies[&at];
+            let view = if self.second_query {
+                &answers.seen
+            } else {
+                &answers.noted
+            };
+            answers.synced && (self.budget.is_none() || is_complete(view))
         })
     }
 
-    /// Returns whether some replica says that it has the turn before.
+    /// Returns whether at least one replica stores the previous turn.
     pub fn previous_is_here(&self) -> bool {
-        let mut slots = self.slots.values();
-        slots.any(|slot| {
-            let noted = slot.noted.as_ref();
+        let mut replies = self.replies.values();
+        replies.any(|answers| {
+            let noted = answers.noted.as_ref();
             noted.is_some_and(|view| view.previous == Presence::Here)
         })
     }
 }
 
-fn whole(view: &Option<View>) -> bool {
+fn is_complete(view: &Option<View>) -> bool {
     view.as_ref().is_some_and(|view| view.whole)
 }
--- a/lib/src/rank.rs
+++ b/lib/src/rank.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing: every process ranks the same nodes in the same order
-//! for a shard, without asking anybody.
+//! Rendezvous hashing of shards to nodes: every process computes the same
+//! order of nodes for a shard, without communication.
 
 use sha2::Digest as _;
 use sha2::Sha256;
@@ -7,7 +7,8 @@
 use crate::id::NodeId;
 use crate::id::ShardId;
 
-/// Returns the weight of `node` for `shard`; the highest ranks first.
+/// Returns the weight of `node` for `shard`; the node with the highest weight
+/// ranks first.
 pub fn weight(shard: ShardId, node: &NodeId) -> u64 {
     let mut hash = Sha256::new();
     hash.update(shard.0.to_be_bytes());
@@ -18,7 +19,7 @@
     u64::from_be_bytes(head)
 }
 
-/// Returns the node that ranks first for `shard`.
+/// Returns the first-ranked node for `shard`.
 pub fn first<'a>(
     shard: ShardId,
     nodes: impl IntoIterator<Item = &'a NodeId>,
--- a/lib/src/store_watch.rs
+++ b/lib/src/store_watch.rs
@@ -1,61 +1,64 @@
-//! How long a call that watches the platform's store is waited for.
+//! Time-out of the long-polling calls that watch the platform's store.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// How long the store may usually hold a call without a change. A call that an
-/// outage has swallowed has to be given up before the platform counts on its
-/// store again.
+/// Default time for which the store may hold a call without a change. A call
+/// that was lost in an outage of the store has to time out before the platform
+/// relies on its store again.
 pub const HOLD: Duration = Duration::from_millis(1_500);
-/// Longest time for which the store holds a call, by its protocol.
+/// Longest time for which the store's protocol allows a call to be held.
 pub const MOST_HOLD: Duration = Duration::from_secs(30);
-/// Wait for the answer beyond the hold: a slowed store takes some 400 ms.
-const SPARE: Duration = Duration::from_millis(750);
-/// Wait for the answer once other processes know more: theirs may have come
-/// sooner by the pause between two calls and by a slow answer.
-const BEHIND_WAIT: Duration = Duration::from_millis(700);
+/// Time allowed for the answer after the hold time: a slow store needs about
+/// 400 ms.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(750);
+/// Time allowed for the answer once another process reports a later revision:
+/// that process may have received its answer earlier by the pause between two
+/// calls plus the duration of a slow answer.
+const BEHIND_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A call that waits for changes of what the store holds.
+/// A long-polling call that waits for changes in the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreWatch {
     sent: Time,
     hold: Duration,
     revision: u64,
-    /// Since when other processes have known of later changes.
-    behind: Option<Time>,
+    /// When another process first reported a revision that this call has not
+    /// returned.
+    behind_since: Option<Time>,
 }
 
 impl StoreWatch {
-    /// Makes a call that is sent now, asks for changes after `revision`, and may
+    /// Records a call that is sent now, requests changes after `revision`, and may
     /// be held for `hold`.
     pub fn new(now: Time, revision: u64, hold: Duration) -> Self {
         Self {
             sent: now,
             hold,
             revision,
-            behind: None,
+            behind_since: None,
         }
     }
 
-    /// Notes that another process knows what the store held at a revision.
+    /// Records that another process has seen the store at `revision`.
     pub fn note_revision(&mut self, now: Time, revision: u64) {
         if revision > self.revision {
-            self.behind.get_or_insert(now);
+            self.behind_since.get_or_insert(now);
         }
     }
 
-    /// Returns whether other processes know of changes that the call has not
-    /// brought.
+    /// Returns whether another process has seen changes that this call has not
+    /// returned.
     pub fn is_behind(&self) -> bool {
-        self.behind.is_some()
+        self.behind_since.is_some()
     }
 
-    /// Returns when the call counts as lost: the store may have taken it
-    /// without ever answering.
+    /// Returns the deadline after which the call is treated as lost: the store may
+    /// have accepted it and never answer.
     pub fn limit(&self) -> Time {
-        let limit = self.sent + self.hold + SPARE;
-        self.behind
-            .map_or(limit, |since| limit.min(since + BEHIND_WAIT))
+        let limit = self.sent + self.hold + ANSWER_TIMEOUT;
+        self.behind_since
+            .map_or(limit, |since| limit.min(since + BEHIND_TIMEOUT))
     }
 }
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -1,4 +1,4 @@
-//! The present time as a value that callers hand in.
+//! Monotonic time as a value that callers pass in.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point of time on the clock of one process, counted from a start that
-/// only this process knows. Two processes never compare theirs.
+/// A point in time on the monotonic clock of one process, as the time since
+/// that clock's origin. Times of two processes are not comparable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Time(Duration);
 
 impl Time {
-    /// Makes the time that lies `millis` milliseconds after the start.
+    /// Creates the time `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
 
-    /// Makes the time that lies `elapsed` after the start.
+    /// Creates the time `elapsed` after the origin.
     pub const fn from_elapsed(elapsed: Duration) -> Self {
         Self(elapsed)
     }
 
-    /// Returns how long ago `earlier` was, zero if it lies ahead.
+    /// Returns the time elapsed since `earlier`, zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the time that lies `span` earlier, or the start.
+    /// Returns the time `span` earlier, or the origin if that would precede it.
     pub fn before(self, span: Duration) -> Time {
         Self(self.0.saturating_sub(span))
     }
 
-    /// Returns the time since the start, in seconds.
+    /// Returns the seconds since the origin.
     pub fn as_secs_f64(self) -> f64 {
         self.0.as_secs_f64()
     }
--- a/lib/src/workspace.rs
+++ b/lib/src/workspace.rs
@@ -1,9 +1,9 @@
-//! Workspaces of the operator's routing document: who sends a request by the
-//! key that it carries, and what it may send.
+//! Workspaces of the operator's routing document: identifies the sender of a
+//! request by its key, and holds the sender's rate limit.
 //!
-//! Keys themselves are known nowhere but on their way in. What is kept, on
-//! disk and in memory, are digests under a secret of the system: somebody who
-//! reads a disk cannot try keys without it.
+//! Keys are never stored. Disk and memory hold only HMACs of keys under a secret
+//! of the system, so that somebody who reads a disk cannot test guessed keys
+//! without that secret.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -14,22 +14,22 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Stands between the name of a workspace and an id of its own. No header can
-/// carry it, so no caller can name another workspace's id.
-const SCOPE_MARK: char = '\u{1f}';
+/// Separates the name of a workspace from an id in a scoped id. Header values
+/// cannot contain it, so no caller can name an id of another workspace.
+const SCOPE_SEPARATOR: char = '\u{1f}';
 
-/// Says why a text is no digest.
+/// The text is not a valid key digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a key's digest has not {len} hexadecimal digits; write the document again", len = 2 * KeyDigest::BYTES)]
 pub struct DigestError;
 
-/// Digest of a key under the system's secret.
+/// HMAC of a key under the system's secret.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; KeyDigest::BYTES]);
 
 impl KeyDigest {
-    /// Length in bytes; half of SHA-256, as nobody gains by two keys that
-    /// collide.
+    /// Length in bytes; half of SHA-256, since a collision of two keys brings no
+    /// advantage.
     const BYTES: usize = 16;
 
     /// Returns the digest as hexadecimal digits.
@@ -37,12 +37,12 @@
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Reads a digest from hexadecimal digits.
+    /// Parses a digest from hexadecimal digits.
     ///
     /// # Errors
     ///
-    /// Returns a [`DigestError`] if there are other characters, or too many or
-    /// too few.
+    /// Returns a [`DigestError`] if the text has another length or other
+    /// characters.
     pub fn from_hex(text: &str) -> Result<Self, DigestError> {
         let mut bytes = [0; Self::BYTES];
         if text.len() != 2 * Self::BYTES || !text.is_ascii() {
@@ -62,19 +62,19 @@
     }
 }
 
-/// Makes digests of keys under one secret.
+/// Computes the digests of keys under one secret.
 #[derive(Clone)]
 pub struct KeyDigester(Hmac<Sha256>);
 
 impl KeyDigester {
-    /// Makes a digester. All processes of a system have the same secret, since
-    /// they hand digests to each other.
+    /// Creates a digester. All processes of a system share the secret, since they
+    /// exchange digests.
     ///
     /// # Panics
     ///
-    /// Does not panic: the algorithm takes secrets of any length.
+    /// Does not panic: HMAC accepts secrets of any length.
     pub fn new(secret: &[u8]) -> Self {
-        Self(Hmac::new_from_slice(secret).expect("secrets of any length are taken"))
+        Self(Hmac::new_from_slice(secret).expect("HMAC accepts secrets of any length"))
     }
 
     /// Returns the digest of a key.
@@ -82,9 +82,9 @@
         let mut mac = self.0.clone();
         mac.update(key);
         let full = mac.finalize().into_bytes();
-        let mut half = [0; KeyDigest::BYTES];
-        half.copy_from_slice(&full[..KeyDigest::BYTES]);
-        KeyDigest(half)
+        let mut truncated = [0; KeyDigest::BYTES];
+        truncated.copy_from_slice(&full[..KeyDigest::BYTES]);
+        KeyDigest(truncated)
     }
 }
 
@@ -94,12 +94,12 @@
     }
 }
 
-/// What a workspace may send through all gateways together.
+/// Rate limit of a workspace over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests on top of the rate, in any span of time.
+    /// Requests that are allowed in addition to the rate, in any interval.
     pub burst: f64,
 }
 
@@ -108,30 +108,29 @@
 pub struct Workspace {
     /// Its name.
     pub name: Arc<str>,
-    /// Rank of its requests, 0 the highest; `None` leaves it to the route.
+    /// Priority of its requests, 0 the highest; `None` for that of the route.
     pub priority: Option<u8>,
-    /// What it may send; `None` if that is not limited.
+    /// Rate limit; `None` if there is none.
     pub allowance: Option<Allowance>,
 }
 
 impl Workspace {
-    /// Returns `id` as an id of this workspace alone. Programs and turns are
-    /// kept under such ids: what belongs to another workspace is then not found,
-    /// by whichever path it is asked for.
+    /// Returns `id` scoped to this workspace. Programs and turns are stored under
+    /// scoped ids, so that no request can find those of another workspace.
     pub fn scope(&self, id: &str) -> Arc<str> {
-        format!("{}{SCOPE_MARK}{id}", self.name).into()
+        format!("{}{SCOPE_SEPARATOR}{id}", self.name).into()
     }
 }
 
-/// Who sent a request.
+/// Sender of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
-    /// The routing document names no workspaces: what callers say of themselves
-    /// is for the servers to judge.
+    /// The routing document defines no workspaces: credentials of callers are
+    /// passed to the servers, which check them.
     Untold,
-    /// Somebody on a route that needs no key.
+    /// A caller without a key on a route that requires none.
     Anyone,
-    /// This workspace.
+    /// A workspace, identified by its key.
     Workspace(Arc<Workspace>),
 }
 
@@ -144,7 +143,7 @@
         }
     }
 
-    /// Returns `id` as an id of the caller's workspace, or as it is.
+    /// Returns `id` scoped to the caller's workspace, or unchanged without one.
     pub fn scope(&self, id: &Arc<str>) -> Arc<str> {
         let workspace = self.workspace();
         workspace.map_or_else(|| id.clone(), |workspace| workspace.scope(id))
@@ -159,7 +158,7 @@
 }
 
 impl Workspaces {
-    /// Makes the workspaces, each with the digests of its keys.
+    /// Builds the index from workspaces and the digests of their keys.
     pub fn new(all: impl IntoIterator<Item = (Workspace, Vec<KeyDigest>)>) -> Self {
         let mut workspaces = Self::default();
         for (workspace, keys) in all {
@@ -171,8 +170,7 @@
         workspaces
     }
 
-    /// Returns the workspace that holds a key. The time that it takes does not
-    /// depend on the number of keys.
+    /// Returns the workspace of a key, in constant time for any number of keys.
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
         self.keys.get(key)
     }
