--- a/lib/src/allowance.rs
+++ b/lib/src/allowance.rs
@@ -1,5 +1,5 @@
-//! What workspaces may send through all gateways together: the operator's bounds,
-//! and what gateways and keepers tell each other (`spending`, `allowance_book`).
+//! Rate limits of workspaces over all gateways: the operator's bounds, and the
+//! messages between gateways (`spending`) and keepers (`allowance_book`).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,24 +10,26 @@
 use crate::id::Boot;
 use crate::workspace::Allowance;
 
-/// The operator's bounds on what all gateways together send of a workspace.
+/// The operator's bounds on how far all gateways together may exceed the
+/// allowance of a workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AllowanceBounds {
-    /// Seconds of the window in which requests are counted.
+    /// Length of the sliding window in which requests are counted, in seconds.
     pub window_s: f64,
-    /// Part of a window's allowance that may be sent beyond it.
+    /// Fraction of a window's allowance by which it may be exceeded.
     pub overrun: f64,
-    /// Requests that may be sent beyond that.
+    /// Number of requests by which it may be exceeded in addition.
     pub slack: f64,
-    /// Part of what may be sent beyond the allowance that is handed out; the rest
-    /// covers what gateways that are cut off send, and what is not told yet: with
-    /// 0.5, nine of 1,800 minutes with a loss each second went over, with 0.3 none.
+    /// Fraction of the permitted excess that keepers grant. The rest covers
+    /// requests of gateways that reach no keeper, and requests that are not
+    /// reported yet. With one failure each second, 9 of 1,800 simulated minutes
+    /// exceeded the bounds at 0.5, none at 0.3.
     pub handed_out: f64,
 }
 
 impl Default for AllowanceBounds {
-    /// A window of five seconds, in which nothing is sent beyond the allowance.
+    /// A window of five seconds, in which the allowance may not be exceeded.
     fn default() -> Self {
         Self {
             window_s: 5.0,
@@ -39,13 +41,13 @@
 }
 
 impl AllowanceBounds {
-    /// Returns whether the values make sense.
+    /// Returns whether the values are within their valid ranges.
     pub fn is_sound(&self) -> bool {
-        let shares = 0.0..=1.0;
+        let fractions = 0.0..=1.0;
         self.window_s > 0.0
             && self.overrun >= 0.0
             && self.slack >= 0.0
-            && shares.contains(&self.handed_out)
+            && fractions.contains(&self.handed_out)
     }
 
     /// Returns the window.
@@ -53,69 +55,71 @@
         Duration::from_secs_f64(self.window_s.max(0.1))
     }
 
-    fn whole(&self, allowance: &Allowance) -> f64 {
+    fn per_window(&self, allowance: &Allowance) -> f64 {
         allowance.rate * self.window().as_secs_f64() + allowance.burst
     }
 
-    fn beyond(&self, allowance: &Allowance) -> f64 {
-        self.whole(allowance) * self.overrun.max(0.0) + self.slack.max(0.0)
+    fn excess(&self, allowance: &Allowance) -> f64 {
+        self.per_window(allowance) * self.overrun.max(0.0) + self.slack.max(0.0)
     }
 
-    /// Returns the requests that are handed out within a window.
+    /// Returns the number of requests that keepers grant within a window.
     pub fn limit(&self, allowance: &Allowance) -> u32 {
-        (self.whole(allowance) + self.beyond(allowance) * self.handed_out) as u32
+        (self.per_window(allowance) + self.excess(allowance) * self.handed_out) as u32
     }
 
-    /// Returns the requests that gateways without a keeper may send within a
-    /// window, all together.
+    /// Returns the number of requests that all gateways without a reachable keeper
+    /// together may send within a window.
     pub fn reserve(&self, allowance: &Allowance) -> u32 {
-        (self.beyond(allowance) * (1.0 - self.handed_out)) as u32
+        (self.excess(allowance) * (1.0 - self.handed_out)) as u32
     }
 }
 
-/// What a gateway tells of a workspace.
+/// A gateway's report on its use of a workspace's allowance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Use {
     /// Name of the workspace.
     pub workspace: Arc<str>,
-    /// Requests that may be sent within a window, by the routing document that
-    /// the gateway knows.
+    /// Requests that may be sent within a window, by the gateway's version of the
+    /// routing document.
     pub limit: u32,
-    /// Requests that are left for gateways without a keeper.
+    /// Requests that are reserved for gateways without a reachable keeper.
     pub reserve: u32,
-    /// Requests that it sent in the window, as [`Recent::ages`].
+    /// Requests that the gateway sent within the window, as returned by
+    /// [`SlidingWindow::ages`](crate::recent::SlidingWindow::ages).
     pub ages: Vec<u16>,
-    /// Programs whose first request came to it since it last told.
+    /// Programs whose first request reached the gateway since its last report.
     pub programs: Vec<u64>,
-    /// The request that it asks to send, already counted in `ages`.
-    pub wants: Option<Want>,
-    /// Whether it is told a keeper that only stands in for the one in charge.
+    /// The request for which the gateway needs permission, already counted in
+    /// `ages`.
+    pub wants: Option<PendingRequest>,
+    /// Whether the report goes to a standby of the responsible keeper.
     pub stand_in: bool,
-    /// Whether the gateway started within the window, so that what was sent
-    /// before its start may be known to nobody.
+    /// Whether the gateway started within the window, so that requests sent before
+    /// its start may be counted nowhere.
     pub young: bool,
 }
 
-/// A request that a gateway asks to send.
+/// A request for which a gateway needs permission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct PendingRequest {
     /// Digest of its program's id.
     pub program: Option<u64>,
-    /// Whether the gateway has sent requests of the program before.
+    /// Whether the gateway has sent requests of this program before.
     pub begun: bool,
 }
 
-/// What an allowance has no room for.
+/// What exceeds an allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     /// Any request.
     Requests,
-    /// A program that begins.
+    /// A new program.
     Programs,
 }
 
 impl Shortage {
-    /// Returns its name in log lines and metrics.
+    /// Returns the label in log lines and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Requests => "requests",
@@ -124,48 +128,47 @@
     }
 }
 
-/// What comes of a request to send.
+/// A keeper's decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ruling {
     /// It may be sent.
     Go,
-    /// The allowance holds no request; one after this time.
+    /// The allowance is exhausted; it has room for a request after this time.
     Full(Duration),
-    /// The allowance holds no further program.
+    /// The allowance has no room for another new program.
     Closed {
-        /// Time after which it holds the next one.
+        /// Time after which it has room for the next one.
         room: Duration,
-        /// Time after which this one's turn comes, after those that were sent
-        /// away before.
+        /// Time after which this program should try again, behind those refused
+        /// before it.
         turn: Duration,
     },
 }
 
-/// What a keeper answers to a [`Use`].
+/// A keeper's reply to a [`Use`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UseReply {
-    /// Requests of the window that other gateways sent, or are expected to send
-    /// for the programs that have begun; `None` while each request is to be asked
-    /// for.
+    /// Requests within the window that other gateways sent, or are expected to
+    /// send for the running programs; `None` while each request needs permission.
     pub others: Option<u32>,
-    /// Requests of the window, by all gateways.
+    /// Requests of all gateways within the window.
     pub used: u32,
-    /// Programs that began within it.
+    /// Programs that started within the window.
     pub begun: u32,
-    /// Gateways that told of any workspace lately.
+    /// Gateways that recently reported on any workspace.
     pub gateways: u32,
-    /// How long the keeper has yet to run before it has been told of a whole
-    /// window.
+    /// Time until the keeper has received reports for a whole window; zero if it
+    /// has.
     pub young: Duration,
-    /// What comes of the request to send, if there was one.
+    /// Decision on the request that needed permission, if there was one.
     pub ruling: Option<Ruling>,
 }
 
-/// A start of a process: one that starts again knows nothing of before.
+/// One run of a process; a restarted process has lost its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ProcessStart {
-    /// Its name.
+    /// Name of the process.
     pub node: Arc<str>,
-    /// Its life.
+    /// Identifies the run.
     pub boot: Boot,
 }
--- a/lib/src/assign.rs
+++ b/lib/src/assign.rs
@@ -1,6 +1,6 @@
-//! Which shards an entry claims, takes over, hands on, or gives another
-//! keeper. The plan of a block is computed anew from what is known at the
-//! time and agreed by one compare-and-swap.
+//! Plans which shards an entry claims, takes over or hands over, and which get
+//! another keeper. The plan of a block is recomputed from the current state each
+//! time, and committed by one compare-and-swap.
 
 use std::time::Duration;
 
@@ -18,25 +18,25 @@
 use crate::shard::BLOCK_SHARDS;
 use crate::shard::Block;
 
-/// How long a shard stays where it is before it is moved for balance.
-const REST: Duration = Duration::from_secs(10);
-/// Shards that one swap moves for balance.
-const MOVES: usize = 8;
+/// Minimum time that an entry owns a shard before it is moved for balance.
+const BALANCE_REST: Duration = Duration::from_secs(10);
+/// Maximum number of shards that one compare-and-swap moves for balance.
+const MAX_MOVES: usize = 8;
 
 /// The part of an entry that plans assignments.
 #[derive(Clone, Debug)]
 pub(crate) struct Planner {
     pub node: NodeId,
-    /// Whether this entry gives all its shards away.
+    /// Whether this entry hands over all its shards.
     pub leaving: bool,
 }
 
 impl Planner {
-    /// Returns the assignments that `block` should have, if they differ from
-    /// those that it has.
+    /// Returns the planned assignments of `block`, if they differ from the current
+    /// ones.
     pub(crate) fn plan(&self, cx: &Context<'_>, owner: &Owner, block: u16) -> Option<Block> {
         let mut value = cx.map.block(block);
-        let mut moves = MOVES;
+        let mut moves = MAX_MOVES;
         let mut changed = false;
         for (offset, assignment) in value.shards.iter_mut().enumerate() {
             let shard = ShardId(block * BLOCK_SHARDS + offset as u16);
@@ -54,99 +54,115 @@
         &self,
         cx: &Context<'_>,
         shard: ShardId,
-        now: &Assignment,
+        current: &Assignment,
         held: Option<&Held>,
         moves: &mut usize,
     ) -> Option<Assignment> {
-        let ours = now.owner.as_ref() == Some(&self.node);
-        match (ours, held) {
-            (true, Some(held)) if held.epoch == now.epoch => {
-                self.plan_held(cx, shard, now, held, moves)
+        let is_own = current.owner.as_ref() == Some(&self.node);
+        match (is_own, held) {
+            (true, Some(held)) if held.epoch == current.epoch => {
+                self.plan_held(cx, shard, current, held, moves)
             }
-            // Owned in an earlier life: only a new epoch tells its late
-            // orders from new ones.
-            (true, _) if self.leaving => self.give(cx, shard, now),
-            (true, _) => Some(next(now, Some(self.node.clone()), now.keeper.clone())),
+            // Owned before a restart of this process: only a new epoch
+            // distinguishes late orders of the previous run from new ones.
+            (true, _) if self.leaving => self.hand_over(cx, shard, current),
+            (true, _) => Some(next(
+                current,
+                Some(self.node.clone()),
+                current.keeper.clone(),
+            )),
             (false, _) if self.leaving => None,
-            (false, _) => self.plan_other(cx, shard, now),
+            (false, _) => self.plan_other(cx, shard, current),
         }
     }
 
-    fn plan_other(&self, cx: &Context<'_>, shard: ShardId, now: &Assignment) -> Option<Assignment> {
+    fn plan_other(
+        &self,
+        cx: &Context<'_>,
+        shard: ShardId,
+        current: &Assignment,
+    ) -> Option<Assignment> {
         let wait = cx.rules.takeover_wait();
-        let free = match &now.owner {
+        let free = match &current.owner {
             None => true,
             Some(owner) => cx.members.is_silent(cx.now, owner, wait),
         };
         if !free || self.first_entry(cx, shard, false).as_ref() != Some(&self.node) {
             return None;
         }
-        let keeper = match &now.keeper {
+        let keeper = match &current.keeper {
             Some(keeper) => Some(keeper.clone()),
             None => self.choose_keeper(cx, shard, None),
         };
-        Some(next(now, Some(self.node.clone()), keeper))
+        Some(next(current, Some(self.node.clone()), keeper))
     }
 
     fn plan_held(
         &self,
         cx: &Context<'_>,
         shard: ShardId,
-        now: &Assignment,
+        current: &Assignment,
         held: &Held,
         moves: &mut usize,
     ) -> Option<Assignment> {
         if held.phase == Phase::Adopting {
-            return self.plan_adopting(cx, shard, now, held);
+            return self.plan_adopting(cx, shard, current, held);
         }
         if self.leaving {
-            return self.give(cx, shard, now);
+            return self.hand_over(cx, shard, current);
         }
-        if self.keeper_is_lost(cx, now, held) {
-            let keeper = self.choose_keeper(cx, shard, now.keeper.as_ref());
+        if self.keeper_is_lost(cx, current, held) {
+            let keeper = self.choose_keeper(cx, shard, current.keeper.as_ref());
             if keeper.is_some() {
-                return Some(next(now, Some(self.node.clone()), keeper));
+                return Some(next(current, Some(self.node.clone()), keeper));
             }
         }
-        let rested = cx.now.since(held.since) >= REST && held.unkept_for(cx.now).is_zero();
-        if rested && *moves > 0 && now.keeper.is_some() {
+        let has_rested =
+            cx.now.since(held.since) >= BALANCE_REST && held.unkept_for(cx.now).is_zero();
+        if has_rested && *moves > 0 && current.keeper.is_some() {
             let best = self.first_entry(cx, shard, true)?;
             if best != self.node {
                 *moves -= 1;
-                return Some(next(now, Some(best), now.keeper.clone()));
+                return Some(next(current, Some(best), current.keeper.clone()));
             }
         }
         None
     }
 
-    /// Gives the keeper's copy up when it has none, or stays away too long.
+    /// Gives up the keeper's copy if the keeper has no complete one, or has no link
+    /// when the wait for the copy ends.
     fn plan_adopting(
         &self,
         cx: &Context<'_>,
         shard: ShardId,
-        now: &Assignment,
+        current: &Assignment,
         held: &Held,
     ) -> Option<Assignment> {
         let late = cx.now.since(held.since) >= cx.rules.cold_wait();
-        let silent = |keeper: &NodeId| !cx.members.is_linked(keeper);
-        let away = now.keeper.as_ref().is_none_or(silent);
-        if !(held.hopeless || late && away) {
+        let is_unlinked = |keeper: &NodeId| !cx.members.is_linked(keeper);
+        let has_no_link = current.keeper.as_ref().is_none_or(is_unlinked);
+        if !(held.hopeless || late && has_no_link) {
             return None;
         }
         let keeper = self.choose_keeper(cx, shard, None);
-        let mut lost = next(now, Some(self.node.clone()), keeper);
+        let mut lost = next(current, Some(self.node.clone()), keeper);
         lost.lost = lost.epoch;
         lost.chosen = lost.epoch;
         Some(lost)
     }
 
-    fn give(&self, cx: &Context<'_>, shard: ShardId, now: &Assignment) -> Option<Assignment> {
-        let heir = self.first_entry(cx, shard, false)?;
-        (heir != self.node).then(|| next(now, Some(heir), now.keeper.clone()))
+    fn hand_over(
+        &self,
+        cx: &Context<'_>,
+        shard: ShardId,
+        current: &Assignment,
+    ) -> Option<Assignment> {
+        let new_owner = self.first_entry(cx, shard, false)?;
+        (new_owner != self.node).then(|| next(current, Some(new_owner), current.keeper.clone()))
     }
 
-    fn keeper_is_lost(&self, cx: &Context<'_>, now: &Assignment, held: &Held) -> bool {
-        let Some(keeper) = &now.keeper else {
+    fn keeper_is_lost(&self, cx: &Context<'_>, current: &Assignment, held: &Held) -> bool {
+        let Some(keeper) = &current.keeper else {
             return true;
         };
         let wait = cx.rules.keeper_wait();
@@ -154,57 +170,65 @@
         leaving || cx.members.is_silent(cx.now, keeper, wait) || held.unkept_for(cx.now) >= wait * 2
     }
 
-    /// Returns the entry that ranks first for `shard` among those in
-    /// service; this one counts unless it is leaving.
-    fn first_entry(&self, cx: &Context<'_>, shard: ShardId, steady: bool) -> Option<NodeId> {
+    /// Returns the first-ranked entry for `shard` among the eligible ones; this
+    /// entry is one of them unless it is leaving. Entries that may get no new work
+    /// are not eligible if `in_service_only`, otherwise those that have had no link
+    /// for the takeover wait.
+    fn first_entry(
+        &self,
+        cx: &Context<'_>,
+        shard: ShardId,
+        in_service_only: bool,
+    ) -> Option<NodeId> {
         let wait = cx.rules.takeover_wait();
-        let serves = |member: &&Member| {
+        let is_eligible = |member: &&Member| {
             let id = &member.node.id;
-            let up = if steady {
+            let up = if in_service_only {
                 cx.members.in_service(cx.now, id)
             } else {
                 !cx.members.is_silent(cx.now, id, wait)
             };
             member.node.role == Role::Entry && up && !member.is_leaving()
         };
-        let others = cx.members.iter().filter(serves).map(|m| &m.node.id);
+        let others = cx.members.iter().filter(is_eligible).map(|m| &m.node.id);
         let own = (!self.leaving).then_some(&self.node);
         rank::first(shard, others.chain(own)).cloned()
     }
 
-    /// Returns a side process in service, in another data centre than most
-    /// of this entry's where there is one.
+    /// Returns the first-ranked side process in service, preferably one outside the
+    /// data centre of this entry.
     fn choose_keeper(
         &self,
         cx: &Context<'_>,
         shard: ShardId,
-        not: Option<&NodeId>,
+        excluded: Option<&NodeId>,
     ) -> Option<NodeId> {
         let home = cx.centre;
-        let serves = |member: &&Member| {
+        let is_eligible = |member: &&Member| {
             let id = &member.node.id;
             let side = member.node.role == Role::Side;
-            side && Some(id) != not && cx.members.in_service(cx.now, id)
+            side && Some(id) != excluded && cx.members.in_service(cx.now, id)
         };
-        let sides = || cx.members.iter().filter(serves);
-        let far = sides().filter(|member| member.node.centre != *home);
-        let far = rank::first(shard, far.map(|member| &member.node.id));
-        far.or_else(|| rank::first(shard, sides().map(|member| &member.node.id)))
+        let sides = || cx.members.iter().filter(is_eligible);
+        let remote = sides().filter(|member| member.node.centre != *home);
+        let remote = rank::first(shard, remote.map(|member| &member.node.id));
+        remote
+            .or_else(|| rank::first(shard, sides().map(|member| &member.node.id)))
             .cloned()
     }
 }
 
-fn next(now: &Assignment, owner: Option<NodeId>, keeper: Option<NodeId>) -> Assignment {
-    let epoch = Epoch(now.epoch.0 + 1);
+fn next(current: &Assignment, owner: Option<NodeId>, keeper: Option<NodeId>) -> Assignment {
+    let epoch = Epoch(current.epoch.0 + 1);
     Assignment {
-        chosen: if keeper == now.keeper {
-            now.chosen
+        chosen: if keeper == current.keeper {
+            current.chosen
         } else {
             epoch
         },
         owner,
         keeper,
         epoch,
-        lost: now.lost,
+        lost: current.lost,
     }
 }
--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -1,5 +1,5 @@
-//! Which processes are there, and which of them may get new work: one rule
-//! over the registry, the VM list, links and leave notices.
+//! Tracks the other processes, and decides from the registry, the VM list, links
+//! and leave notices which of them may be given new work.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,63 +12,63 @@
 use crate::id::NodeId;
 use crate::time::Time;
 
-/// Shortest time that a link must last before its server gets work again,
-/// after it was lost.
-const STEADY: Duration = Duration::from_millis(250);
-/// Longest such time, however often the link was lost.
-const STEADY_MAX: Duration = Duration::from_secs(16);
-/// A link that lasted this long is forgiven its earlier losses.
-const FORGIVEN: Duration = Duration::from_secs(60);
+/// Time that a re-established link must last before its server gets work, after
+/// the first loss. Doubles with each further loss.
+const MIN_STABLE: Duration = Duration::from_millis(250);
+/// Upper limit of that time.
+const MAX_STABLE: Duration = Duration::from_secs(16);
+/// When a link that lasted this long is lost, earlier losses no longer count.
+const LOSS_RESET: Duration = Duration::from_secs(60);
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Serves callers and owns shards.
+    /// Serves callers and owns shards of programs.
     Entry,
-    /// Stands beside a backend server.
+    /// Runs next to a backend server, as its sidecar.
     Side,
 }
 
-/// A process as it registered itself.
+/// Registration of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
     /// Its name.
     pub id: NodeId,
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Data centre that it runs in.
     pub centre: DataCentre,
     /// IP address and port for the system's other processes.
     pub address: String,
-    /// Its VM's name in the VM list.
+    /// Name of its VM in the VM list.
     pub vm: String,
 }
 
-/// What the VM list says of a VM.
+/// State of a VM in the VM list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Listed {
-    /// It is there.
+    /// In operation.
     Live,
-    /// It is about to go.
+    /// About to be removed.
     Leaving,
-    /// The list does not have it, or has not been read.
+    /// Not in the list, or the list has not been read yet.
     Absent,
 }
 
-/// Load that a side process reports of its backend server.
+/// Load of a backend server, as reported by its side process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Calls that run.
+    /// Running calls.
     pub running: u32,
-    /// Calls that wait.
+    /// Queued calls.
     pub queued: u32,
-    /// Tokens that the waiting and running calls still need, as estimated.
+    /// Estimated number of tokens that the queued and running calls still need.
     pub tokens: u64,
-    /// Time of a running call for each piece of an answer, in microseconds;
-    /// zero if it is not known.
+    /// Mean time that a running call needs for each streamed piece of its answer,
+    /// in microseconds; zero if unknown.
     pub pace: u32,
 }
 
@@ -78,10 +78,10 @@
     Down { since: Time },
 }
 
-/// What is known of one process.
+/// State of one process.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// How it registered.
+    /// Its registration.
     pub node: Node,
     link: Link,
     listed: Listed,
@@ -89,11 +89,12 @@
     drained: bool,
     losses: u32,
     load: Load,
-    heard: Time,
+    reported_at: Time,
 }
 
 impl Member {
-    /// Returns the life that the link leads to, if there is a link.
+    /// Returns the boot id of the process at the other end of the link, if there is
+    /// a link.
     pub fn boot(&self) -> Option<Boot> {
         match self.link {
             Link::Up { boot, .. } => Some(boot),
@@ -106,18 +107,18 @@
         self.load
     }
 
-    /// Returns how old the reported load is.
+    /// Returns the age of the last reported load.
     pub fn load_age(&self, now: Time) -> Duration {
-        now.since(self.heard)
+        now.since(self.reported_at)
     }
 
-    /// Returns whether it gave notice, an operator drains it, or the VM list
-    /// says that it goes.
+    /// Returns whether it announced that it leaves, an operator drains it, or its VM
+    /// is about to be removed.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.drained || self.listed == Listed::Leaving
     }
 
-    /// Returns how long there has been no link; zero while there is one.
+    /// Returns the time since the link was lost; zero while there is one.
     pub fn silence(&self, now: Time) -> Duration {
         match self.link {
             Link::Up { .. } => Duration::ZERO,
@@ -125,7 +126,7 @@
         }
     }
 
-    fn is_steady(&self, now: Time) -> bool {
+    fn is_stable(&self, now: Time) -> bool {
         let Link::Up { since, .. } = self.link else {
             return false;
         };
@@ -133,23 +134,24 @@
             return true;
         }
         let factor = 1 << self.losses.min(8).saturating_sub(1);
-        now.since(since) >= (STEADY * factor).min(STEADY_MAX)
+        now.since(since) >= (MIN_STABLE * factor).min(MAX_STABLE)
     }
 }
 
-/// All processes that this one knows of.
+/// All other processes that this process has registrations or links of.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     known: BTreeMap<NodeId, Member>,
-    /// Links to processes whose registration has not been read yet. A link
-    /// and a registration come by different ways, in either order.
-    early: BTreeMap<NodeId, Link>,
-    /// Entries among them; counted, since each call asks.
+    /// Links to processes whose registration has not been read yet. Links and
+    /// registrations arrive through different channels, in either order.
+    unregistered: BTreeMap<NodeId, Link>,
+    /// Number of processes with the role `Entry`; cached, since every call needs
+    /// it.
     entries: u64,
 }
 
 impl Members {
-    /// Takes over registrations.
+    /// Applies registrations.
     pub fn register<'a>(&mut self, now: Time, nodes: impl IntoIterator<Item = &'a Node>) {
         for node in nodes {
             self.register_one(now, node);
@@ -158,18 +160,18 @@
     }
 
     fn register_one(&mut self, now: Time, node: &Node) {
-        let early = self.early.remove(&node.id);
-        let fresh = || Member {
+        let unregistered = self.unregistered.remove(&node.id);
+        let new_member = || Member {
             node: node.clone(),
-            link: early.unwrap_or(Link::Down { since: now }),
+            link: unregistered.unwrap_or(Link::Down { since: now }),
             listed: Listed::Absent,
             leaving: false,
             drained: false,
             losses: 0,
             load: Load::default(),
-            heard: now,
+            reported_at: now,
         };
-        let member = self.known.entry(node.id.clone()).or_insert_with(fresh);
+        let member = self.known.entry(node.id.clone()).or_insert_with(new_member);
         if member.node != *node {
             member.node = node.clone();
         }
@@ -185,31 +187,31 @@
         self.entries
     }
 
-    /// Removes a process that took back its registration.
+    /// Removes a process that deleted its registration.
     pub fn remove(&mut self, id: &NodeId) {
         self.known.remove(id);
         self.count_entries();
     }
 
-    /// Notes that a link to `id`, in the life `boot`, was made.
+    /// Records that a link to `id` with the boot id `boot` was established.
     pub fn link_up(&mut self, now: Time, id: &NodeId, boot: Boot) {
         let link = Link::Up { since: now, boot };
         let Some(member) = self.known.get_mut(id) else {
-            self.early.insert(id.clone(), link);
+            self.unregistered.insert(id.clone(), link);
             return;
         };
         member.link = link;
         member.leaving = false;
     }
 
-    /// Notes that the link to `id` was lost.
+    /// Records that the link to `id` was lost.
     pub fn link_down(&mut self, now: Time, id: &NodeId) {
         let Some(member) = self.known.get_mut(id) else {
-            self.early.remove(id);
+            self.unregistered.remove(id);
             return;
         };
         if let Link::Up { since, .. } = member.link {
-            if now.since(since) >= FORGIVEN {
+            if now.since(since) >= LOSS_RESET {
                 member.losses = 0;
             }
             member.losses += 1;
@@ -217,35 +219,35 @@
         }
     }
 
-    /// Takes over a reading of the VM list; `state` tells of each VM.
+    /// Applies the VM list; `state` returns the state of a VM by its name.
     pub fn listed(&mut self, state: impl Fn(&str) -> Listed) {
         for member in self.known.values_mut() {
             member.listed = state(&member.node.vm);
         }
     }
 
-    /// Takes over the names of processes that operators drain.
+    /// Applies the names of processes that operators drain.
     pub fn drained(&mut self, names: &[NodeId]) {
         for (id, member) in &mut self.known {
             member.drained = names.contains(id);
         }
     }
 
-    /// Takes over a report of `id` about itself.
+    /// Applies a report of the process `id` on its load and whether it leaves.
     pub fn heard(&mut self, now: Time, id: &NodeId, load: Load, leaving: bool) {
         if let Some(member) = self.known.get_mut(id) {
             member.load = load;
-            member.heard = now;
+            member.reported_at = now;
             member.leaving = leaving;
         }
     }
 
-    /// Returns what is known of `id`.
+    /// Returns the state of `id`.
     pub fn get(&self, id: &NodeId) -> Option<&Member> {
         self.known.get(id)
     }
 
-    /// Returns all members, by name.
+    /// Returns all members, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.known.values()
     }
@@ -255,16 +257,17 @@
         self.boot(id).is_some()
     }
 
-    /// Returns the life of `id` that the link leads to.
+    /// Returns the boot id of `id`, if it is linked.
     pub fn boot(&self, id: &NodeId) -> Option<Boot> {
         self.known.get(id)?.boot()
     }
 
-    /// Returns whether `id` may get new work. A process's own leave notice
-    /// and a drain always count. The VM list and lost links count unless
-    /// either would take out more than half of the linked processes of the
-    /// same role: then the list is more likely to be wrong, and servers that
-    /// flap are better than none.
+    /// Returns whether `id` may be given new work. A process that announced that it
+    /// leaves, is drained or has no link gets none. Processes that leave by the VM
+    /// list, or whose links flap, get none either, unless the respective rule
+    /// would exclude more than half of the linked processes of the same role: then
+    /// the list is more likely to be wrong, and flapping servers are better than
+    /// none.
     pub fn in_service(&self, now: Time, id: &NodeId) -> bool {
         let Some(member) = self.known.get(id) else {
             return false;
@@ -274,15 +277,15 @@
         }
         let role = member.node.role;
         let listed = |member: &Member| member.listed == Listed::Leaving;
-        let unsteady = |member: &Member| !member.is_steady(now);
-        let out = listed(member) && self.is_few(role, listed)
-            || unsteady(member) && self.is_few(role, unsteady);
+        let unstable = |member: &Member| !member.is_stable(now);
+        let out = listed(member) && self.is_at_most_half(role, listed)
+            || unstable(member) && self.is_at_most_half(role, unstable);
         !out
     }
 
-    /// Returns whether at most half of the linked processes of a role are
-    /// such as `is_out` says.
-    fn is_few(&self, role: Role, is_out: impl Fn(&Member) -> bool) -> bool {
+    /// Returns whether at most half of the linked processes of a role match
+    /// `is_out`.
+    fn is_at_most_half(&self, role: Role, is_out: impl Fn(&Member) -> bool) -> bool {
         let linked = self
             .known
             .values()
@@ -295,7 +298,7 @@
         out * 2 <= total
     }
 
-    /// Returns whether `id` has been without a link for `wait`, or is unknown.
+    /// Returns whether `id` has had no link for at least `wait`, or is unknown.
     pub fn is_silent(&self, now: Time, id: &NodeId, wait: Duration) -> bool {
         match self.known.get(id) {
             Some(member) => member.boot().is_none() && member.silence(now) >= wait,
--- a/lib/src/shard.rs
+++ b/lib/src/shard.rs
@@ -1,4 +1,4 @@
-//! Who owns and who keeps each shard of programs.
+//! Assignment of shards of programs to owners and keepers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,36 +7,37 @@
 use crate::id::NodeId;
 use crate::id::ShardId;
 
-/// How many shards share one value of the key-value service.
+/// Number of shards that are stored in one value of the key-value service.
 pub const BLOCK_SHARDS: u16 = 256;
 
-/// Who is responsible for one shard.
+/// Assignment of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assignment {
-    /// Entry that orders the shard's calls.
+    /// Entry process that orders the shard's calls.
     pub owner: Option<NodeId>,
     /// Side process that holds the second copy.
     pub keeper: Option<NodeId>,
-    /// Grows by one with each change.
+    /// Incremented with each change.
     pub epoch: Epoch,
-    /// Epoch at which this keeper was chosen; an older copy of its is stale.
+    /// Epoch at which this keeper was chosen; a copy that it holds from an earlier
+    /// epoch is stale.
     #[serde(default)]
     pub chosen: Epoch,
-    /// Epoch at which both copies were lost last; zero if never.
+    /// Epoch at which both copies were last lost; zero if never.
     #[serde(default)]
     pub lost: Epoch,
 }
 
-/// One value of the key-value service: the assignments of a run of shards.
+/// One value of the key-value service: the assignments of consecutive shards.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Block {
-    /// Assignments in the order of their shards.
+    /// Assignments, ordered by shard.
     pub shards: Vec<Assignment>,
 }
 
-/// The newest assignments that a process has heard of.
+/// The newest assignments that a process has received.
 #[derive(Clone, Debug, Default)]
 pub struct ShardMap {
     assignments: Vec<Assignment>,
@@ -44,7 +45,7 @@
 }
 
 impl ShardMap {
-    /// Makes the map of `count` shards without owners.
+    /// Creates the map of `count` unassigned shards.
     pub fn new(count: u16) -> Self {
         let blocks = count.div_ceil(BLOCK_SHARDS);
         Self {
@@ -63,7 +64,7 @@
         self.revisions.len() as u16
     }
 
-    /// Returns the assignment of `shard`, if there is such a shard.
+    /// Returns the assignment of `shard`, if it exists.
     pub fn get(&self, shard: ShardId) -> Option<&Assignment> {
         self.assignments.get(usize::from(shard.0))
     }
@@ -76,12 +77,13 @@
             .map(|(index, assignment)| (ShardId(index as u16), assignment))
     }
 
-    /// Returns the service's revision of `block`; zero if it was never read.
+    /// Returns the key-value service's revision of `block`; zero if it was never
+    /// read.
     pub fn revision(&self, block: u16) -> u64 {
         self.revisions.get(usize::from(block)).copied().unwrap_or(0)
     }
 
-    /// Returns the assignments of `block` as they stand.
+    /// Returns the current assignments of `block`.
     pub fn block(&self, block: u16) -> Block {
         let start = usize::from(block) * usize::from(BLOCK_SHARDS);
         let end = (start + usize::from(BLOCK_SHARDS)).min(self.assignments.len());
@@ -90,9 +92,8 @@
         }
     }
 
-    /// Takes over `block` as of `revision` and returns the shards that
-    /// changed. An older revision, or an assignment of a lower epoch, changes
-    /// nothing.
+    /// Applies the value of `block` as of `revision`, and returns the shards that
+    /// changed. Revisions and epochs that are not newer are ignored.
     pub fn update(&mut self, block: u16, revision: u64, value: &Block) -> Vec<ShardId> {
         let mut changed = Vec::new();
         let Some(known) = self.revisions.get_mut(usize::from(block)) else {
--- a/lib/src/spending.rs
+++ b/lib/src/spending.rs
@@ -1,109 +1,113 @@
-//! What one gateway sends of each workspace, and whether it may send more.
+//! Enforces the rate limits of workspaces on a gateway.
 //!
-//! While all gateways together have sent far less than the limit, as far as the
-//! keeper in charge said lately, requests go at once and are told afterwards.
-//! Near the limit each one is asked for first. A gateway that reaches no keeper
-//! sends its part of what the bounds leave for that.
+//! While all gateways together are far below a workspace's limit, according to a
+//! recent reply of the responsible keeper, requests are sent at once and reported
+//! afterwards. Near the limit, the gateway requests the keeper's permission for
+//! each one. A gateway that reaches no keeper sends at most its share of the
+//! requests that the bounds reserve for this case.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::allowance::AllowanceBounds;
+use crate::allowance::PendingRequest;
 use crate::allowance::ProcessStart;
 use crate::allowance::Ruling;
 use crate::allowance::Shortage;
 use crate::allowance::Use;
 use crate::allowance::UseReply;
-use crate::allowance::Want;
 use crate::hash;
-use crate::recent::Recent;
+use crate::recent::SlidingWindow;
 use crate::time::Time;
 use crate::workspace::Allowance;
 use crate::workspace::Workspace;
 
-/// Part of the limit below which requests go without asking. What is left above
-/// it is more than a workspace sends at seven times its usual until all gateways
-/// that send for it have told, a quarter of a second later.
-const FREE_SHARE: f64 = 0.5;
-/// How long what the keeper said of other gateways holds: longer than the pauses
-/// of a workspace that sends a request now and then by each gateway.
-const HEARD_WAIT: Duration = Duration::from_millis(2_500);
-/// Time between questions about programs that are not known here, while the
-/// allowance holds no further one: a flood costs a keeper a hundred messages a
-/// second and gateway at most.
-const ASK_EVERY: Duration = Duration::from_millis(10);
-/// How long requests go without asking while no keeper says that it heard of
-/// them: two tellings.
-const UNTOLD_WAIT: Duration = Duration::from_millis(500);
-/// How long a program is known after its last request here.
-const PROGRAM_MEMORY: Duration = Duration::from_secs(10);
-/// Programs remembered for each workspace; above it those that rest are
-/// forgotten.
+/// Fraction of the limit below which requests are sent without permission. The
+/// rest of the limit is more than a workspace sends at seven times its usual rate
+/// until all gateways that send for it have reported, within 250 ms.
+const UNCHECKED_SHARE: f64 = 0.5;
+/// How long the keeper's count of other gateways' requests stays valid: longer
+/// than the pauses of a workspace that only occasionally sends a request through
+/// each gateway.
+const REPLY_VALIDITY: Duration = Duration::from_millis(2_500);
+/// Minimum interval between permission requests for programs that are unknown to
+/// this gateway, while the allowance has no room for new programs. An overload
+/// thus costs a keeper at most a hundred messages per second and gateway.
+const ASK_INTERVAL: Duration = Duration::from_millis(10);
+/// How long requests are sent without permission while no keeper acknowledges a
+/// report of them: two report intervals.
+const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(500);
+/// How long a program is remembered after its last request through this gateway.
+const PROGRAM_RETENTION: Duration = Duration::from_secs(10);
+/// Number of programs of a workspace from which on inactive ones are removed.
 const MAX_PROGRAMS: usize = 1_024;
-/// Gateways that share what is left for those without a keeper, where no keeper
-/// has said how many there are.
-const USUAL_GATEWAYS: u32 = 16;
-/// When a caller comes back that another gateway may serve.
-const COME_BACK: Duration = Duration::from_millis(50);
+/// Assumed number of gateways that share the reserve for gateways without a
+/// reachable keeper, until a keeper has reported their number.
+const DEFAULT_GATEWAYS: u32 = 16;
+/// Time after which a caller should retry that another gateway may serve.
+const RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// What a gateway does with a request.
+/// A gateway's decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes to a server.
+    /// Send it to a server.
     Go(Counted),
-    /// The keeper in charge is asked first.
+    /// Request permission of the responsible keeper first.
     Ask(Counted),
-    /// The allowance has no room for it until then.
+    /// Refuse it: the allowance has no room for it until this time has passed.
     Over(Shortage, Duration),
 }
 
-/// A request that is counted as sent, until it is given back.
+/// A request that is counted as sent unless it is given back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counted {
     /// Name of its workspace.
     pub workspace: Arc<str>,
     slot: u64,
-    want: Want,
+    pending: PendingRequest,
 }
 
 #[derive(Clone, Debug)]
 struct Account {
-    own: Recent,
+    own: SlidingWindow,
     allowance: Allowance,
-    /// What others had sent when the keeper in charge last answered, and when.
+    /// Requests of other gateways by the responsible keeper's last reply, and the
+    /// time of that reply.
     others: Option<(u32, Time)>,
-    /// The keeper that was told last.
-    keeper: Option<ProcessStart>,
-    /// Since when requests have been sent of which no keeper has told that it
-    /// heard.
-    untold: Option<Time>,
+    /// The keeper that received the last report.
+    reported_to: Option<ProcessStart>,
+    /// When the oldest request was sent that no keeper has acknowledged.
+    unacknowledged_since: Option<Time>,
     programs: HashMap<u64, Time>,
-    /// Those of them that the keeper was not told of.
-    fresh: Vec<u64>,
-    full: Time,
-    closed: Time,
-    /// When the next program that is not known here may be asked for, while the
-    /// allowance holds no further one.
+    /// Programs that have not been reported to that keeper.
+    unreported: Vec<u64>,
+    full_until: Time,
+    closed_until: Time,
+    /// When permission may next be requested for a program that is unknown to this
+    /// gateway, while the allowance has no room for new programs.
     next_ask: Time,
-    /// When the turn of the program that was sent away last comes.
-    turn: Time,
+    /// When the program that was refused last should try again.
+    retry_at: Time,
 }
 
 impl Account {
-    /// Returns whether all gateways together have sent far less than the limit, as
-    /// far as was said lately.
-    fn is_free(&mut self, now: Time, bounds: &AllowanceBounds) -> bool {
+    /// Returns whether all gateways together are far below the limit, according to
+    /// recent replies.
+    fn is_far_below_limit(&mut self, now: Time, bounds: &AllowanceBounds) -> bool {
         let limit = f64::from(bounds.limit(&self.allowance));
         let own = self.own.total(now);
-        let told = self
-            .untold
-            .is_none_or(|since| now.since(since) < UNTOLD_WAIT);
-        let heard = self.others.filter(|(_, at)| now.since(*at) < HEARD_WAIT);
-        told && heard.is_some_and(|(others, _)| f64::from(own + others) < FREE_SHARE * limit)
+        let acknowledged = self
+            .unacknowledged_since
+            .is_none_or(|since| now.since(since) < UNACKNOWLEDGED_LIMIT);
+        let valid = self
+            .others
+            .filter(|(_, at)| now.since(*at) < REPLY_VALIDITY);
+        acknowledged
+            && valid.is_some_and(|(others, _)| f64::from(own + others) < UNCHECKED_SHARE * limit)
     }
 
-    fn told(
+    fn report(
         &mut self,
         now: Time,
         bounds: &AllowanceBounds,
@@ -123,68 +127,68 @@
         }
     }
 
-    fn knows(&self, program: u64) -> bool {
+    fn has_program(&self, program: u64) -> bool {
         self.programs.contains_key(&program)
     }
 
-    fn note_program(&mut self, now: Time, program: u64) {
+    fn record_program(&mut self, now: Time, program: u64) {
         if self.programs.len() >= MAX_PROGRAMS {
             self.programs
-                .retain(|_, at| now.since(*at) < PROGRAM_MEMORY);
+                .retain(|_, at| now.since(*at) < PROGRAM_RETENTION);
         }
         if self.programs.insert(program, now).is_none() {
-            self.fresh.push(program);
+            self.unreported.push(program);
         }
     }
 }
 
-/// What a gateway sent of all workspaces.
+/// A gateway's counts of all workspaces.
 #[derive(Clone, Debug)]
 pub struct Spending {
     bounds: AllowanceBounds,
-    /// Whether programs that begin are refused first.
+    /// Whether new programs are refused before requests of running ones.
     by_programs: bool,
     started: Time,
     accounts: HashMap<Arc<str>, Account>,
     gateways: u32,
-    /// Keepers that have not been told of a whole window, and until when.
-    young: HashMap<ProcessStart, Time>,
+    /// Keepers that have not received reports for a whole window, and until when.
+    incomplete_until: HashMap<ProcessStart, Time>,
 }
 
-/// The keepers that count for a workspace.
+/// The keepers that count the requests of a workspace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InCharge {
-    /// The one that is asked.
+    /// The responsible keeper.
     pub keeper: Option<ProcessStart>,
-    /// Those that take over from it, as many as may be lost at once.
+    /// Its standbys, as many as the number of keepers that may fail at once.
     pub others: Vec<ProcessStart>,
 }
 
 impl Spending {
-    /// Makes the record of a gateway that starts `now`.
+    /// Creates the counts of a gateway that starts `now`.
     pub fn new(bounds: AllowanceBounds, by_programs: bool, now: Time) -> Self {
         Self {
             bounds,
             by_programs,
             started: now,
             accounts: HashMap::new(),
-            gateways: USUAL_GATEWAYS,
-            young: HashMap::new(),
+            gateways: DEFAULT_GATEWAYS,
+            incomplete_until: HashMap::new(),
         }
     }
 
-    /// Returns which keepers count for a workspace, of those within reach in the
-    /// order in which they are to. One that has just started knows nothing of
-    /// gateways that are lost or cut off, so it only stands in until it has been
-    /// told of a whole window, if there is another one. `faults` keepers may be lost
-    /// at once.
+    /// Returns the keepers that count the requests of a workspace. `order` are the
+    /// reachable keepers, ranked for the workspace; `faults` keepers may fail at
+    /// once. A keeper that has just started lacks the reports of gateways that have
+    /// failed or are cut off from it, so it is only a standby until it has received
+    /// reports for a whole window, unless there is no other keeper.
     pub fn in_charge(&self, now: Time, order: &[ProcessStart], faults: usize) -> InCharge {
-        let is_young = |keeper: &&ProcessStart| {
-            let until = self.young.get(*keeper);
+        let is_incomplete = |keeper: &&ProcessStart| {
+            let until = self.incomplete_until.get(*keeper);
             until.is_some_and(|until| now < *until)
         };
-        let old = order.iter().find(|keeper| !is_young(keeper));
-        let keeper = old.or(order.first()).cloned();
+        let complete = order.iter().find(|keeper| !is_incomplete(keeper));
+        let keeper = complete.or(order.first()).cloned();
         let others = order.iter().filter(|other| Some(*other) != keeper.as_ref());
         InCharge {
             others: others.take(faults).cloned().collect(),
@@ -192,8 +196,8 @@
         }
     }
 
-    /// Decides on a request of a workspace with an allowance, and counts it if
-    /// it is not refused.
+    /// Decides on a request of a workspace with an allowance, and counts the
+    /// request unless it is refused.
     pub fn decide(
         &mut self,
         now: Time,
@@ -205,30 +209,30 @@
         let program = program.filter(|_| self.by_programs);
         let program = program.map(|id| hash::spread(id.bytes()));
         let account = self.account(now, workspace, allowance);
-        if now < account.full {
-            return Decision::Over(Shortage::Requests, account.full.since(now));
+        if now < account.full_until {
+            return Decision::Over(Shortage::Requests, account.full_until.since(now));
         }
-        let begun = program.is_none_or(|program| account.knows(program));
-        // A program that is not known here may have begun elsewhere.
-        if !begun && now < account.closed {
+        let begun = program.is_none_or(|program| account.has_program(program));
+        // A program that is unknown here may have started at another gateway.
+        if !begun && now < account.closed_until {
             if now < account.next_ask {
-                let turn = account.turn.max(account.closed);
-                return Decision::Over(Shortage::Programs, turn.since(now));
+                let retry_at = account.retry_at.max(account.closed_until);
+                return Decision::Over(Shortage::Programs, retry_at.since(now));
             }
-            account.next_ask = now + ASK_EVERY;
+            account.next_ask = now + ASK_INTERVAL;
         }
         let slot = account.own.add(now, 1);
-        account.untold.get_or_insert(now);
+        account.unacknowledged_since.get_or_insert(now);
         let counted = Counted {
             workspace: workspace.name.clone(),
             slot,
-            want: Want { program, begun },
+            pending: PendingRequest { program, begun },
         };
-        if !account.is_free(now, &bounds) {
+        if !account.is_far_below_limit(now, &bounds) {
             return Decision::Ask(counted);
         }
         if let Some(program) = program {
-            account.note_program(now, program);
+            account.record_program(now, program);
         }
         Decision::Go(counted)
     }
@@ -237,48 +241,49 @@
         let window = self.bounds.window();
         let account = self.accounts.entry(workspace.name.clone());
         let account = account.or_insert_with(|| Account {
-            own: Recent::new(window),
+            own: SlidingWindow::new(window),
             allowance: *allowance,
             others: None,
-            keeper: None,
-            untold: None,
+            reported_to: None,
+            unacknowledged_since: None,
             programs: HashMap::new(),
-            fresh: Vec::new(),
-            full: now,
-            closed: now,
+            unreported: Vec::new(),
+            full_until: now,
+            closed_until: now,
             next_ask: now,
-            turn: now,
+            retry_at: now,
         });
         if account.allowance != *allowance {
-            // What was refused by another limit may be allowed by this one.
+            // Requests that were refused by the old limit may fit the new one.
             account.allowance = *allowance;
-            account.full = now;
-            account.closed = now;
+            account.full_until = now;
+            account.closed_until = now;
         }
         account
     }
 
-    /// Forgets the workspaces that rest, and returns the others.
+    /// Removes inactive workspaces, and returns the names of the others.
     pub fn active(&mut self, now: Time) -> Vec<Arc<str>> {
         self.accounts.retain(|_, account| {
             let programs = &mut account.programs;
-            programs.retain(|_, at| now.since(*at) < PROGRAM_MEMORY);
+            programs.retain(|_, at| now.since(*at) < PROGRAM_RETENTION);
             !programs.is_empty() || account.own.total(now) > 0
         });
         self.accounts.keys().cloned().collect()
     }
 
-    /// Returns whether the keeper in charge of a workspace lacks some of what was
-    /// sent here: since it was told last, or since another one was.
+    /// Returns whether the responsible keeper of a workspace lacks requests of this
+    /// gateway: some were sent since the last acknowledged report, or the last
+    /// report went to another keeper.
     pub fn is_untold(&self, workspace: &str, keeper: &ProcessStart) -> bool {
         let account = self.accounts.get(workspace);
         account.is_some_and(|account| {
-            account.untold.is_some() || account.keeper.as_ref() != Some(keeper)
+            account.unacknowledged_since.is_some() || account.reported_to.as_ref() != Some(keeper)
         })
     }
 
-    /// Returns what `keeper` is told of a workspace, with the request that is
-    /// asked for.
+    /// Returns the report to `keeper` on a workspace; `wants` is the request that
+    /// needs permission, if there is one.
     pub fn tell(
         &mut self,
         now: Time,
@@ -286,101 +291,102 @@
         keeper: &ProcessStart,
         wants: Option<&Counted>,
     ) -> Option<Use> {
-        let young = self.is_young(now);
+        let young = self.has_just_started(now);
         let bounds = self.bounds;
         let account = self.accounts.get_mut(workspace)?;
-        if account.keeper.as_ref() != Some(keeper) {
-            account.keeper = Some(keeper.clone());
-            account.fresh = account.programs.keys().copied().collect();
+        if account.reported_to.as_ref() != Some(keeper) {
+            account.reported_to = Some(keeper.clone());
+            account.unreported = account.programs.keys().copied().collect();
         }
-        let programs = std::mem::take(&mut account.fresh);
-        let mut told = account.told(now, &bounds, workspace, programs, young);
-        told.wants = wants.map(|counted| counted.want);
-        Some(told)
+        let programs = std::mem::take(&mut account.unreported);
+        let mut report = account.report(now, &bounds, workspace, programs, young);
+        report.wants = wants.map(|counted| counted.pending);
+        Some(report)
     }
 
-    /// Returns what the keeper that stands in for the one in charge is told of a
-    /// workspace, if it is near its limit. It then knows at once what was sent when
-    /// it takes over, also by gateways that are lost or cut off by then.
+    /// Returns the report to the standbys on a workspace, if it is near its limit.
+    /// A standby that takes over then has complete counts at once, including those
+    /// of gateways that have failed or are cut off by then.
     pub fn copy(&mut self, now: Time, workspace: &str) -> Option<Use> {
-        let young = self.is_young(now);
+        let young = self.has_just_started(now);
         let bounds = self.bounds;
         let account = self.accounts.get_mut(workspace)?;
-        if account.is_free(now, &bounds) {
+        if account.is_far_below_limit(now, &bounds) {
             return None;
         }
         let programs = account.programs.keys().copied().collect();
-        let mut told = account.told(now, &bounds, workspace, programs, young);
-        told.stand_in = true;
-        Some(told)
+        let mut report = account.report(now, &bounds, workspace, programs, young);
+        report.stand_in = true;
+        Some(report)
     }
 
-    fn is_young(&self, now: Time) -> bool {
+    fn has_just_started(&self, now: Time) -> bool {
         now.since(self.started) < self.bounds.window()
     }
 
-    /// Notes that a keeper did not answer, so that what it was told is told
-    /// again.
+    /// Records that a keeper did not reply, so that the report is repeated.
     pub fn unheard(&mut self, workspace: &str) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.keeper = None;
+            account.reported_to = None;
         }
     }
 
-    /// Takes a keeper's answer of a workspace.
+    /// Applies a keeper's reply on a workspace.
     pub fn hear(&mut self, now: Time, keeper: &ProcessStart, workspace: &str, reply: &UseReply) {
         if !reply.young.is_zero() {
-            self.young.retain(|_, until| now < *until);
-            self.young.insert(keeper.clone(), now + reply.young);
+            self.incomplete_until.retain(|_, until| now < *until);
+            self.incomplete_until
+                .insert(keeper.clone(), now + reply.young);
         }
-        // A keeper that has just started has heard of a few only.
+        // A keeper that has just started has received reports of few gateways.
         self.gateways = self.gateways.max(reply.gateways);
         let Some(account) = self.accounts.get_mut(workspace) else {
             return;
         };
         account.others = reply.others.map(|others| (others, now));
-        account.untold = None;
+        account.unacknowledged_since = None;
         match reply.ruling {
-            Some(Ruling::Full(after)) => account.full = now + after,
+            Some(Ruling::Full(after)) => account.full_until = now + after,
             Some(Ruling::Closed { room, turn }) => {
-                account.closed = now + room;
-                account.turn = now + turn;
+                account.closed_until = now + room;
+                account.retry_at = now + turn;
             }
             Some(Ruling::Go) | None => {}
         }
     }
 
-    /// Notes that a request that was asked for goes to a server.
+    /// Records that a request is sent after permission was requested.
     pub fn allow(&mut self, now: Time, counted: &Counted) {
         let account = self.accounts.get_mut(&counted.workspace);
-        if let (Some(account), Some(program)) = (account, counted.want.program) {
-            account.note_program(now, program);
+        if let (Some(account), Some(program)) = (account, counted.pending.program) {
+            account.record_program(now, program);
         }
     }
 
-    /// Decides on a request while no keeper is within reach.
+    /// Decides on a request while no keeper is reachable.
     ///
     /// # Errors
     ///
-    /// Returns when the caller is to come back, by another gateway.
+    /// Returns the time after which the caller should retry, through another
+    /// gateway.
     pub fn allow_alone(&mut self, now: Time, counted: &Counted) -> Result<(), Duration> {
         let gateways = self.gateways;
         let bounds = self.bounds;
         let Some(account) = self.accounts.get_mut(&counted.workspace) else {
-            return Err(COME_BACK);
+            return Err(RETRY_AFTER);
         };
         let part = (bounds.reserve(&account.allowance) / gateways).max(1);
         if account.own.total(now) > part {
-            return Err(COME_BACK);
+            return Err(RETRY_AFTER);
         }
         self.allow(now, counted);
         Ok(())
     }
 
-    /// Takes back a request that was counted and not sent.
+    /// Uncounts a request that was counted but not sent.
     pub fn give_back(&mut self, now: Time, counted: &Counted) {
         if let Some(account) = self.accounts.get_mut(&counted.workspace) {
-            account.own.take_back(now, counted.slot);
+            account.own.remove(now, counted.slot);
         }
     }
 }
--- a/lib/tests/allowances.rs
+++ b/lib/tests/allowances.rs
@@ -1,7 +1,7 @@
-//! What all gateways together send of one workspace, in any window that slides,
-//! while gateways are cut off and start again, and keepers are lost. The figures
-//! are those of the sheets: 22 gateways, a window of 5 s, a tenth and 20 requests
-//! beyond; programs of ten requests in 2.5 s.
+//! Simulates the rate limit of one workspace over all gateways, in any sliding
+//! window, while gateways are cut off or restart and keepers fail. The parameters
+//! are those of the users' data sheets: 22 gateways, a window of 5 s, a permitted
+//! excess of a tenth plus 20 requests, and programs of ten requests in 2.5 s.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use limpetferry_lib::allowance::Ruling;
 use limpetferry_lib::allowance_book::AllowanceBook;
 use limpetferry_lib::id::Boot;
-use limpetferry_lib::recent::Recent;
+use limpetferry_lib::recent::SlidingWindow;
 use limpetferry_lib::spending::Counted;
 use limpetferry_lib::spending::Decision;
 use limpetferry_lib::spending::InCharge;
@@ -31,19 +31,20 @@
 };
 const WINDOW_MS: u64 = 5_000;
 const STEP_MS: u64 = 10;
-const TELL_MS: u64 = 250;
+const REPORT_MS: u64 = 250;
 const GATEWAYS: usize = 22;
 const KEEPERS: usize = 9;
 const FAULTS: usize = 2;
 const PROGRAM_REQUESTS: u32 = 10;
-/// Seeds that went over the bounds while half of what lies beyond the allowance
-/// was handed out.
-const SEEN: [u64; 9] = [86, 142, 160, 250, 270, 514, 535, 538, 564];
+/// Seeds that exceeded the bounds when keepers granted half of the permitted
+/// excess.
+const FAILED_SEEDS: [u64; 9] = [86, 142, 160, 250, 270, 514, 535, 538, 564];
 const PROGRAM_GATEWAYS: usize = 4;
 const PROGRAM_MS: u64 = 2_500;
 
-/// The most that the operator's bounds allow within a window.
-fn most(allowance: &Allowance) -> f64 {
+/// Returns the maximum number of requests that the operator's bounds allow within
+/// a window.
+fn max_requests(allowance: &Allowance) -> f64 {
     let whole = allowance.rate * BOUNDS.window_s + allowance.burst;
     whole * (1.0 + BOUNDS.overrun) + BOUNDS.slack
 }
@@ -70,20 +71,20 @@
     refused: bool,
 }
 
-/// How a day went.
+/// Results of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-struct Day {
-    /// Requests that were sent.
+struct Results {
+    /// Requests that were sent to servers.
     sent: u32,
-    /// Most of them within any window.
+    /// Largest number of them within any window.
     peak: u32,
     /// Programs that ended.
     ended: u32,
-    /// Programs of which a request after the first one was refused.
+    /// Programs that failed because a request after the first one was refused.
     broken: u32,
-    /// Programs of which the first request was refused.
+    /// Programs that never started because their first request was refused.
     refused: u32,
-    /// Requests that were asked for.
+    /// Requests for which permission was requested.
     asked: u32,
 }
 
@@ -96,14 +97,14 @@
     programs: Vec<Program>,
     next_program: u64,
     sends: VecDeque<u64>,
-    day: Day,
+    results: Results,
 }
 
 fn time(millis: u64) -> Time {
     Time::from_millis(millis)
 }
 
-/// Makes a keeper that starts at a time, which also names its life.
+/// Creates a keeper that starts at time `at`, which is also its boot id.
 fn keeper(number: usize, at: u64) -> (ProcessStart, AllowanceBook) {
     let start = ProcessStart {
         node: format!("keeper-{number}").into(),
@@ -117,7 +118,8 @@
 
 impl World {
     fn new(seed: u64, rate: f64) -> Self {
-        // All have run for a while, so that nothing counts as unknown.
+        // All processes have run for longer than a window, so that they have
+        // complete counts.
         let gateway = |number: usize| Gateway {
             spending: Spending::new(BOUNDS, true, time(0)),
             start: ProcessStart {
@@ -135,11 +137,11 @@
             programs: Vec::new(),
             next_program: 1,
             sends: VecDeque::new(),
-            day: Day::default(),
+            results: Results::default(),
         }
     }
 
-    /// Returns the keepers that count for a gateway, those of low numbers first.
+    /// Returns the keepers that a gateway uses, those with low numbers first.
     fn in_charge(&self, gateway: usize) -> InCharge {
         let gateway = &self.gateways[gateway];
         if gateway.cut_until > self.now {
@@ -153,45 +155,45 @@
     fn book(&mut self, keeper: &ProcessStart) -> &mut AllowanceBook {
         let mut keepers = self.keepers.iter_mut().flatten();
         let found = keepers.find(|(start, _)| start == keeper);
-        &mut found.expect("it is within reach").1
+        &mut found.expect("it is reachable").1
     }
 
-    fn tell(&mut self, gateway: usize, wants: Option<&Counted>) -> Option<Option<Ruling>> {
+    fn report(&mut self, gateway: usize, wants: Option<&Counted>) -> Option<Option<Ruling>> {
         let keeper = self.in_charge(gateway).keeper?;
         let now = time(self.now);
         let name = self.workspace.name.clone();
         let own = &mut self.gateways[gateway];
-        let told = own.spending.tell(now, &name, &keeper, wants)?;
+        let report = own.spending.tell(now, &name, &keeper, wants)?;
         let start = own.start.clone();
-        let reply = self.book(&keeper).take(now, &start, &told);
+        let reply = self.book(&keeper).take(now, &start, &report);
         let own = &mut self.gateways[gateway].spending;
         own.hear(now, &keeper, &name, &reply);
         if wants.is_some() && self.in_charge(gateway).keeper != Some(keeper) {
-            // It has just started: another one knows more.
-            return self.tell(gateway, wants);
+            // The keeper has just started: another one has more complete counts.
+            return self.report(gateway, wants);
         }
         Some(reply.ruling)
     }
 
-    /// Sends a request of a program by a gateway.
+    /// Sends a request of a program through a gateway.
     ///
     /// # Errors
     ///
-    /// Returns when its caller is to come back.
+    /// Returns the time after which the caller should retry.
     fn send(&mut self, gateway: usize, program: u64) -> Result<(), Duration> {
         let now = time(self.now);
         let allowance = self.workspace.allowance.expect("it is limited");
         let id = program.to_string();
         let own = &mut self.gateways[gateway].spending;
         let decision = own.decide(now, &self.workspace, &allowance, Some(&id));
-        let went = match decision {
+        let result = match decision {
             Decision::Over(_, after) => Err(after),
             Decision::Go(_) => Ok(()),
             Decision::Ask(counted) => {
-                self.day.asked += 1;
-                let ruling = self.tell(gateway, Some(&counted));
+                self.results.asked += 1;
+                let ruling = self.report(gateway, Some(&counted));
                 let own = &mut self.gateways[gateway].spending;
-                let went = match ruling {
+                let result = match ruling {
                     Some(Some(Ruling::Full(after) | Ruling::Closed { turn: after, .. })) => {
                         Err(after)
                     }
@@ -201,16 +203,16 @@
                     }
                     None => own.allow_alone(now, &counted),
                 };
-                if went.is_err() {
+                if result.is_err() {
                     own.give_back(now, &counted);
                 }
-                went
+                result
             }
         };
-        if went.is_ok() {
+        if result.is_ok() {
             self.count();
         }
-        went
+        result
     }
 
     fn count(&mut self) {
@@ -222,11 +224,12 @@
         {
             self.sends.pop_front();
         }
-        self.day.sent += 1;
-        self.day.peak = self.day.peak.max(self.sends.len() as u32);
+        self.results.sent += 1;
+        self.results.peak = self.results.peak.max(self.sends.len() as u32);
     }
 
-    /// Lets programs begin at a rate of requests, and those that run go on.
+    /// Advances the simulation: starts programs at a rate given in requests, and
+    /// continues running ones.
     fn step(&mut self, rate: f64) {
         self.now += STEP_MS;
         let chance = rate / f64::from(PROGRAM_REQUESTS) * STEP_MS as f64 / 1_000.0;
@@ -241,16 +244,16 @@
             self.programs.push(program);
         }
         let mut programs = std::mem::take(&mut self.programs);
-        programs.retain_mut(|program| self.go_on(program));
+        programs.retain_mut(|program| self.advance(program));
         self.programs = programs;
-        if self.now.is_multiple_of(TELL_MS) {
+        if self.now.is_multiple_of(REPORT_MS) {
             for gateway in 0..GATEWAYS {
-                self.tell_what_is_due(gateway);
+                self.send_due_reports(gateway);
             }
         }
     }
 
-    fn tell_what_is_due(&mut self, gateway: usize) {
+    fn send_due_reports(&mut self, gateway: usize) {
         let now = time(self.now);
         let name = self.workspace.name.clone();
         let InCharge { keeper, others } = self.in_charge(gateway);
@@ -265,36 +268,37 @@
         }
         let own = &self.gateways[gateway].spending;
         if keeper.is_some_and(|keeper| own.is_untold(&name, &keeper)) {
-            self.tell(gateway, None);
+            self.report(gateway, None);
         }
     }
 
-    /// Sends a program's request if it is due; returns whether the program goes on.
-    fn go_on(&mut self, program: &mut Program) -> bool {
+    /// Sends a program's next request if it is due; returns whether the program
+    /// continues.
+    fn advance(&mut self, program: &mut Program) -> bool {
         if program.next > self.now {
             return true;
         }
-        // A program's requests come by a few gateways.
+        // The requests of one program arrive through a few gateways.
         let one_of = self.rng.random_range(0..PROGRAM_GATEWAYS);
         let gateway = (program.id as usize * 5 + one_of) % GATEWAYS;
         if let Err(after) = self.send(gateway, program.id) {
-            // Callers come back once, by another gateway, and wait a second at
+            // Callers retry once, through another gateway, after one second at
             // most.
             program.next = self.now + (after.as_millis() as u64).clamp(STEP_MS, 1_000);
             if !std::mem::replace(&mut program.refused, true) {
                 return true;
             }
             if program.left == PROGRAM_REQUESTS {
-                self.day.refused += 1;
+                self.results.refused += 1;
             } else {
-                self.day.broken += 1;
+                self.results.broken += 1;
             }
             return false;
         }
         program.refused = false;
         program.left -= 1;
         program.next = self.now + PROGRAM_MS / u64::from(PROGRAM_REQUESTS);
-        self.day.ended += u32::from(program.left == 0);
+        self.results.ended += u32::from(program.left == 0);
         program.left > 0
     }
 
@@ -337,38 +341,41 @@
     }
 }
 
-/// Lets a workspace send seven times its usual, which is two thirds of its rate,
-/// for a minute with a disturbance each second.
-fn check_windows(disturb: impl Fn(&mut World)) {
-    for seed in (0..40).chain(SEEN) {
+/// Lets a workspace send seven times its usual load, which is two thirds of its
+/// rate, for a minute with one disturbance each second, and checks the bounds.
+fn check_bounds(disturb: impl Fn(&mut World)) {
+    for seed in (0..40).chain(FAILED_SEEDS) {
         let rate = [4.0, 22.0, 200.0][seed as usize % 3];
         let mut world = World::new(seed, rate);
-        let most = most(&world.workspace.allowance.expect("it is limited"));
+        let max = max_requests(&world.workspace.allowance.expect("it is limited"));
 
         for _ in 0..60 {
             disturb(&mut world);
             world.run(1, rate * 4.7);
         }
 
-        let day = world.day;
-        assert!(f64::from(day.peak) <= most, "seed {seed}: {day:?}, {most}");
-        assert!(day.sent > 0, "seed {seed}: {day:?}");
+        let results = world.results;
+        assert!(
+            f64::from(results.peak) <= max,
+            "seed {seed}: {results:?}, {max}"
+        );
+        assert!(results.sent > 0, "seed {seed}: {results:?}");
     }
 }
 
 #[test]
-fn no_window_holds_more_than_the_bounds_allow_as_gateways_are_cut_off_and_start_again() {
-    check_windows(World::disturb_gateways);
+fn bounds_hold_while_gateways_are_cut_off_and_restart() {
+    check_bounds(World::disturb_gateways);
 }
 
 #[test]
-fn no_window_holds_more_than_the_bounds_allow_as_keepers_are_lost_and_gateways_cut_off() {
-    check_windows(World::disturb_keepers);
+fn bounds_hold_while_keepers_fail_and_gateways_are_cut_off() {
+    check_bounds(World::disturb_keepers);
 }
 
 #[test]
 fn no_window_holds_more_than_the_bounds_allow_as_gateways_and_keepers_are_lost() {
-    check_windows(|world| {
+    check_bounds(|world| {
         if world.rng.random_bool(0.5) {
             world.disturb_gateways();
         } else {
@@ -381,7 +388,7 @@
 fn what_was_sent_before_a_loss_of_everything_still_counts() {
     for seed in 0..20 {
         let mut world = World::new(seed, 22.0);
-        let most = most(&world.workspace.allowance.expect("it is limited"));
+        let max = max_requests(&world.workspace.allowance.expect("it is limited"));
         world.run(10, 100.0);
 
         world.now += 1_000;
@@ -389,8 +396,11 @@
         (0..KEEPERS).for_each(|number| world.restart_keeper(number));
         world.run(10, 100.0);
 
-        let day = world.day;
-        assert!(f64::from(day.peak) <= most, "seed {seed}: {day:?}, {most}");
+        let results = world.results;
+        assert!(
+            f64::from(results.peak) <= max,
+            "seed {seed}: {results:?}, {max}"
+        );
     }
 }
 
@@ -401,10 +411,14 @@
 
         world.run(60, 15.0);
 
-        let day = world.day;
-        assert_eq!((day.refused, day.broken), (0, 0), "seed {seed}: {day:?}");
-        // Far below the limit few are asked for.
-        assert!(day.asked * 2 < day.sent, "seed {seed}: {day:?}");
+        let results = world.results;
+        assert_eq!(
+            (results.refused, results.broken),
+            (0, 0),
+            "seed {seed}: {results:?}"
+        );
+        // Far below the limit, few requests need permission.
+        assert!(results.asked * 2 < results.sent, "seed {seed}: {results:?}");
     }
 }
 
@@ -413,21 +427,22 @@
     for seed in 0..10 {
         let mut world = World::new(seed, 40.0);
         world.run(20, 25.0);
-        world.day = Day::default();
+        world.results = Results::default();
 
         world.run(20, 188.0);
 
-        let day = world.day;
-        // The allowance holds 84 programs; two thirds of them end, and most of
-        // those that begin, the onset of the flood included. Where requests are
-        // refused alike, a third end, and six in seven that begin do not.
-        assert!(day.ended >= 56, "seed {seed}: {day:?}");
-        assert!(day.broken < day.ended, "seed {seed}: {day:?}");
+        let results = world.results;
+        // The allowance has room for 84 programs. Two thirds of them end, and so
+        // do most of those that start, including the onset of the overload. If all
+        // requests are refused alike, one third end, and six in seven of those that
+        // start do not.
+        assert!(results.ended >= 56, "seed {seed}: {results:?}");
+        assert!(results.broken < results.ended, "seed {seed}: {results:?}");
     }
 }
 
 #[test]
-fn what_a_gateway_tells_once_more_counts_once() {
+fn repeated_reports_are_counted_once() {
     let mut book = AllowanceBook::new(BOUNDS.window(), time(0), true);
     let mut world = World::new(1, 40.0);
     let allowance = world.workspace.allowance.expect("it is limited");
@@ -437,18 +452,18 @@
         own.spending
             .decide(time(60_000), &world.workspace, &allowance, None);
     }
-    let mut tell = |now| {
-        let told = own.spending.tell(time(now), "hule930", &keeper, None);
-        told.expect("it is known")
+    let mut report = |now| {
+        let report = own.spending.tell(time(now), "hule930", &keeper, None);
+        report.expect("the workspace is active")
     };
     let other = ProcessStart {
         node: "other".into(),
         boot: Boot(1),
     };
 
-    let first = tell(60_000);
+    let first = report(60_000);
     book.take(time(60_000), &own.start, &first);
-    let again = tell(60_010);
+    let again = report(60_010);
     book.take(time(60_010), &own.start, &again);
     let seen = book.take(time(61_000), &other, &first);
 
@@ -456,8 +471,8 @@
 }
 
 #[test]
-fn counts_leave_with_the_window() {
-    let mut recent = Recent::new(Duration::from_secs(5));
+fn counts_expire_with_the_window() {
+    let mut recent = SlidingWindow::new(Duration::from_secs(5));
 
     recent.add(time(1_000), 3);
     recent.add(time(3_000), 2);
@@ -468,26 +483,27 @@
 }
 
 #[test]
-fn counts_told_to_another_process_age_there() {
-    let mut recent = Recent::new(Duration::from_secs(5));
+fn counts_received_from_another_process_expire() {
+    let mut recent = SlidingWindow::new(Duration::from_secs(5));
     recent.add(time(1_000), 3);
     let ages = recent.ages(time(4_000));
 
-    // Its clock began later.
-    let mut told = Recent::from_ages(Duration::from_secs(5), time(100), &ages);
+    // The clock of the other process started later.
+    let mut received = SlidingWindow::from_ages(Duration::from_secs(5), time(100), &ages);
 
-    assert_eq!(told.total(time(100)), 3);
-    assert_eq!(told.total(time(5_600)), 0);
+    assert_eq!(received.total(time(100)), 3);
+    assert_eq!(received.total(time(5_600)), 0);
 }
 
-/// Sends `count` requests by the first gateway, and returns how many go.
+/// Sends `count` requests through the first gateway, and returns how many are
+/// not refused.
 fn send_some(world: &mut World, count: u64) -> usize {
     let sent = (0..count).map(|number| world.send(0, number));
     sent.filter(Result::is_ok).count()
 }
 
 #[test]
-fn a_raised_limit_holds_at_once() {
+fn a_raised_limit_applies_at_once() {
     let mut world = World::new(1, 4.0);
     let first = send_some(&mut world, 60);
     let refused = send_some(&mut world, 10);
@@ -500,7 +516,7 @@
 }
 
 #[test]
-fn a_lowered_limit_counts_what_was_sent_before() {
+fn a_lowered_limit_counts_earlier_requests() {
     let mut world = World::new(1, 40.0);
     let first = send_some(&mut world, 60);
 
--- a/lib/tests/members.rs
+++ b/lib/tests/members.rs
@@ -1,4 +1,5 @@
-//! Who counts as being there, whatever order the news comes in.
+//! Which processes count as available, for any order of links, registrations and
+//! notices.
 
 use std::time::Duration;
 
@@ -118,7 +119,7 @@
     assert!(submitted, "{out:?}");
 }
 
-/// Returns members with linked side processes of these names.
+/// Returns members with linked side processes that have these names.
 fn linked_sides(names: &[&str]) -> Members {
     let mut members = Members::default();
     for name in names {
@@ -129,7 +130,7 @@
     members
 }
 
-/// Loses and makes the link to `name` again, `times` times until `end`.
+/// Loses and re-establishes the link to `name` `times` times, ending at `end`.
 fn flap(members: &mut Members, name: &str, times: u64, end: u64) {
     let id = NodeId::new(name);
     for turn in (1..=times).rev() {
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_server_that_flaps_gets_work_after_a_time_that_grows() {
+fn a_flapping_server_gets_work_after_a_growing_delay() {
     let mut members = linked_sides(&["tool-1", "tool-2", "tool-3"]);
     let id = NodeId::new("tool-1");
 
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn a_drained_server_gets_nothing_even_if_it_is_the_only_one() {
+fn a_drained_server_gets_no_work_even_if_it_is_the_only_one() {
     let mut members = linked_sides(&["tool-1"]);
 
     members.drained(&[NodeId::new("tool-1")]);
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_request_that_never_reached_an_owner_ends_with_its_patience() {
+fn a_request_that_never_reached_an_owner_times_out() {
     let rules = Rules::default();
     let cold = rules.cold_ms;
     let block = Event::Block {
@@ -208,7 +209,7 @@
         .any(|effect| matches!(effect, Effect::Finish { .. }));
     entry.step(at(cold), Event::Tick, &mut out);
 
-    let words = out.iter().filter_map(|effect| match effect {
+    let codes = out.iter().filter_map(|effect| match effect {
         Effect::Finish {
             reply: Reply::Refused(refusal),
             ..
@@ -216,5 +217,5 @@
         _ => None,
     });
     assert!(!early);
-    assert_eq!(words.collect::<Vec<_>>(), [Code::NoOwner]);
+    assert_eq!(codes.collect::<Vec<_>>(), [Code::NoOwner]);
 }
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Who is taken off the list of keepers, and by whom.
+//! Changes of the list of keepers: which keepers are removed, and when the one
+//! that decides must not rely on its own view.
 
 use std::sync::Arc;
 
@@ -27,43 +28,43 @@
 }
 
 #[test]
-fn a_keeper_that_is_silent_for_long_is_taken_off() {
+fn a_keeper_that_timed_out_is_removed() {
     let list = keepers(9);
-    let silent = names(&[3]);
+    let timed_out = names(&[3]);
 
-    let gone = list.replaceable(&silent, &silent, FAULTS);
+    let removed = list.replaceable(&timed_out, &timed_out, FAULTS);
 
-    assert_eq!(gone.map(|keeper| &*keeper.node), Some("keeper-3"));
+    assert_eq!(removed.map(|keeper| &*keeper.node), Some("keeper-3"));
 }
 
 #[test]
 fn a_keeper_that_is_cut_off_takes_no_other_off() {
-    // It hears of nobody; the first link was lost a little before the others,
-    // so that only one has been silent for long.
+    // It reaches no other keeper. The first link was lost shortly before the
+    // others, so that only that keeper has timed out.
     let list = keepers(9);
-    let unheard = names(&[0, 1, 2, 3, 5, 6, 7, 8]);
+    let unreachable = names(&[0, 1, 2, 3, 5, 6, 7, 8]);
 
-    let gone = list.replaceable(&names(&[3]), &unheard, FAULTS);
+    let removed = list.replaceable(&names(&[3]), &unreachable, FAULTS);
 
-    assert_eq!(gone, None);
+    assert_eq!(removed, None);
 }
 
 #[test]
-fn no_keeper_is_taken_off_if_too_few_stay() {
+fn no_keeper_is_removed_if_too_few_remain() {
     let list = keepers(5);
-    let silent = names(&[3]);
+    let timed_out = names(&[3]);
 
-    assert_eq!(list.replaceable(&silent, &silent, FAULTS), None);
+    assert_eq!(list.replaceable(&timed_out, &timed_out, FAULTS), None);
 }
 
-/// A list of which keepers were emptied and taken away.
-fn left_of(count: u16, taken: &[u16]) -> Membership {
+/// Returns a list from which the keepers `removed` were drained and removed.
+fn list_without(count: u16, removed: &[u16]) -> Membership {
     let mut list = keepers(count);
-    for &number in taken {
+    for &number in removed {
         list = list.leave(&name(number)).expect("it is in the list");
         while list.is_changing() {
-            let waits = list.keepers.iter().find(|keeper| !keeper.ready);
-            let node = waits.expect("one is not ready").node.clone();
+            let copying = list.keepers.iter().find(|keeper| !keeper.ready);
+            let node = copying.expect("one is not ready").node.clone();
             list = list.ready(&node).expect("it becomes ready");
         }
     }
@@ -71,8 +72,8 @@
 }
 
 #[test]
-fn the_one_of_two_that_is_left_goes_on() {
-    let list = left_of(5, &[0, 1, 2]);
+fn the_remaining_one_of_two_keepers_continues_alone() {
+    let list = list_without(5, &[0, 1, 2]);
 
     let next = list.without_lost(&names(&[3]), FAULTS);
 
@@ -84,19 +85,22 @@
 }
 
 #[test]
-fn none_is_dropped_while_a_majority_is_left() {
-    assert_matches!(left_of(5, &[0]).without_lost(&names(&[1]), FAULTS), None);
+fn no_unreachable_keeper_is_dropped_while_a_majority_remains() {
+    assert_matches!(
+        list_without(5, &[0]).without_lost(&names(&[1]), FAULTS),
+        None
+    );
     assert_matches!(keepers(5).without_lost(&names(&[1, 2]), FAULTS), None);
     assert_matches!(keepers(9).without_lost(&names(&[1, 2]), FAULTS), None);
-    assert_matches!(left_of(5, &[0, 1, 2]).without_lost(&[], FAULTS), None);
+    assert_matches!(list_without(5, &[0, 1, 2]).without_lost(&[], FAULTS), None);
 }
 
 #[test]
-fn none_is_dropped_if_a_turn_might_be_at_none_of_the_others() {
-    // Of four, two are down, and one of the two that are left may just have
-    // lost its disk: what those three kept is at the two that are down.
-    let four = left_of(5, &[0]);
-    let three = left_of(5, &[0, 1]);
+fn no_unreachable_keeper_is_dropped_if_only_it_may_have_a_turn() {
+    // Two of four are down, and one of the remaining two may just have lost its
+    // disk: turns that those three stored are then only on the two that are down.
+    let four = list_without(5, &[0]);
+    let three = list_without(5, &[0, 1]);
 
     assert_matches!(four.without_lost(&names(&[1, 2]), FAULTS), None);
     assert_matches!(four.without_lost(&names(&[1, 2, 3]), FAULTS), None);
@@ -104,22 +108,22 @@
 }
 
 #[test]
-fn none_is_dropped_while_the_list_changes() {
-    let list = left_of(5, &[0, 1, 2]);
+fn no_unreachable_keeper_is_dropped_while_the_list_changes() {
+    let list = list_without(5, &[0, 1, 2]);
     let address = ([10, 0, 0, 1], 9_000).into();
 
     let joining = list.join("new", address, FAULTS).expect("it is new");
 
     assert_matches!(joining.without_lost(&names(&[3]), FAULTS), None);
-    let unheard = [&names(&[3])[..], &["new".into()]].concat();
-    assert_matches!(joining.without_lost(&unheard, FAULTS), None);
+    let unreachable = [&names(&[3])[..], &["new".into()]].concat();
+    assert_matches!(joining.without_lost(&unreachable, FAULTS), None);
 }
 
 #[test]
-fn a_keeper_that_comes_back_denies_no_turn_before_it_has_copied() {
-    // It was left out of a list of two while it was down; the other one kept
-    // turns alone since.
-    let list = left_of(5, &[0, 3, 4]);
+fn a_returning_keeper_rules_out_no_turn_before_it_has_copied() {
+    // It was removed from a list of two while it was down; since then the other
+    // one has stored turns alone.
+    let list = list_without(5, &[0, 3, 4]);
     let alone = list.without_lost(&names(&[1]), 1).expect("one is left");
     let back = list.keepers[0].address;
     let back = alone.join("keeper-1", back, 1).expect("it is not listed");
@@ -133,8 +137,9 @@
 
 #[test]
 fn a_turn_that_a_majority_has_is_denied_by_no_number_of_the_others() {
-    // Also with fewer keepers than programs have replicas: one of three that was
-    // not asked denied a turn, where two may be lost at once.
+    // Also with fewer keepers than programs have replicas. With a tolerance of two
+    // losses, one of three keepers, which had not been sent the turn, was enough
+    // to rule it out.
     for (count, faults) in (1..=9).flat_map(|count| (0..=4).map(move |faults| (count, faults))) {
         let list = keepers(count);
         for program in ["a", "b", "c"] {
@@ -142,7 +147,12 @@
             let first = |size| &replicas.keepers[..size];
             let sizes = 1..=replicas.keepers.len();
             let is_majority = |size: &usize| replicas.majority(|at| first(*size).contains(&at));
-            let has = first(sizes.into_iter().find(is_majority).expect("all are one"));
+            let has = first(
+                sizes
+                    .into_iter()
+                    .find(is_majority)
+                    .expect("all replicas are a majority"),
+            );
             let others = (0..usize::from(count)).filter(|at| !has.contains(at));
             let others: Vec<u16> = others.map(|at| at as u16).collect();
 
@@ -157,15 +167,16 @@
 
 #[test]
 fn a_keeper_that_hears_of_too_few_others_is_not_relied_on() {
-    // Its watch of the store may be as silent as its links.
+    // Its watch of the store may have been interrupted like its links.
     let three = keepers(3);
 
     assert!(three.is_cut_off(&names(&[1, 2]), 1));
     assert!(!three.is_cut_off(&names(&[1]), 1));
-    assert!(!left_of(5, &[0, 1, 2]).is_cut_off(&names(&[3]), 1));
+    assert!(!list_without(5, &[0, 1, 2]).is_cut_off(&names(&[3]), 1));
 }
 
-/// Hundreds of VMs: 24 keepers, of which five watch the platform's store.
+/// A deployment with hundreds of VMs: 24 keepers, of which five watch the
+/// platform's store.
 #[test]
 fn as_many_keepers_watch_the_store_as_a_program_has_replicas() {
     let list = keepers(24);
@@ -189,7 +200,7 @@
 }
 
 #[test]
-fn what_many_keepers_ask_for_takes_one_list() {
+fn requests_of_many_keepers_are_applied_in_one_list() {
     let list = keepers(9).leave(&name(4)).expect("it is in the list");
     let ready = |number| ListRequest::Ready {
         node: name(number).into(),
@@ -209,7 +220,7 @@
 }
 
 #[test]
-fn what_was_copied_before_programs_moved_makes_no_keeper_ready() {
+fn a_copy_from_before_programs_moved_makes_no_keeper_ready() {
     let first = keepers(9).leave(&name(4)).expect("it is in the list");
     let then = first.leave(&name(5)).expect("it is in the list");
     let node: Arc<str> = name(1).into();
@@ -227,7 +238,7 @@
 }
 
 #[test]
-fn nothing_is_copied_again_because_others_come_or_are_ready() {
+fn nothing_is_copied_again_when_others_join_or_become_ready() {
     let leaving = keepers(9).leave(&name(4)).expect("it is in the list");
     let address = ([10, 0, 0, 1], 9_000).into();
 
--- a/lib/tests/opening.rs
+++ b/lib/tests/opening.rs
@@ -1,4 +1,5 @@
-//! Orders of events around the opening of a turn that random ones seldom meet.
+//! Sequences of events at the admission of a turn that the randomized tests
+//! rarely produce.
 
 use std::sync::Arc;
 
@@ -43,8 +44,9 @@
 
 #[test]
 fn three_turns_that_each_see_one_other_do_not_all_go() {
-    // At one replica first comes before second, at the next second before
-    // third, at the last third before first; each hears from two of them.
+    // The first replica records `first` before `second`, the next one `second`
+    // before `third`, the last one `third` before `first`. Each turn gets the
+    // answers of two replicas.
     let mut turns = [opening(), opening(), opening()];
     let others = ["second", "third", "first"];
 
@@ -66,7 +68,7 @@
 }
 
 #[test]
-fn a_replica_that_was_not_asked_again_does_not_make_a_turn_durable() {
+fn a_replica_without_second_query_does_not_make_a_turn_durable() {
     let mut turn = opening();
     turn.step(0, noted(&[]));
     turn.step(1, noted(&["other"]));
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn a_replica_that_was_lost_counts_only_once_it_has_answered_anew() {
+fn a_lost_replica_counts_only_after_it_has_answered_again() {
     let mut turn = opening();
     turn.step(0, noted(&[]));
     turn.step(1, noted(&[]));
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn what_a_lost_replica_told_before_is_asked_again() {
+fn earlier_answers_of_a_lost_replica_are_void() {
     let mut turn = opening();
     turn.step(0, noted(&[]));
 
@@ -113,7 +115,7 @@
 }
 
 #[test]
-fn a_replica_that_may_lack_turns_says_nothing_of_the_budget() {
+fn the_view_of_a_replica_that_may_lack_turns_is_ignored_for_the_budget() {
     let mut turn = opening();
     let mut lacking = view(&[]);
     lacking.whole = false;
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn an_end_that_one_replica_knows_counts_as_what_was_used() {
+fn an_end_reported_by_one_replica_counts_with_the_tokens_used() {
     let mut turn = opening();
     let mut ended = view(&["other"]);
     ended.shares[0].tokens = 0;
--- a/lib/tests/turn_world/mod.rs
+++ b/lib/tests/turn_world/mod.rs
@@ -1,5 +1,5 @@
-//! Keepers with disks, and turns that open and end at them, around the
-//! decisions of `opening`, `ledger` and `membership`.
+//! Simulates keepers with disks, and turns that start and end on them, around the
+//! logic of `opening`, `ledger` and `membership`.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,64 +21,64 @@
 use limpetferry_lib::opening::View;
 use limpetferry_lib::time::Time;
 
-/// Turns after which a new program comes, as the budget of the one before is
-/// about to end.
+/// Number of turns after which a new program starts, since the budget of the
+/// previous one is nearly used up.
 const PROGRAM_TURNS: usize = 4;
-/// Tokens that all turns of one program may hand out.
+/// Tokens that all turns of one program may output together.
 const BUDGET: u64 = 60;
 /// Tokens of one event.
 const EVENT: u64 = 10;
-/// Entries, each with a view of the list of its own.
+/// Number of entries, each with its own copy of the list of keepers.
 const ENTRIES: usize = 3;
 
-/// Something that happens.
+/// A simulated event.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// Some turns of a program begin at once, with bounds on their tokens.
+    /// Some turns of a program start at once, with limits on their tokens.
     Start(u16, u16),
-    /// Some messages arrive.
+    /// Some messages are delivered.
     Deliver(u16),
-    /// A message arrives.
+    /// A message is delivered.
     DeliverOne(u16),
-    /// A keeper's disk finishes what was written.
+    /// A keeper's disk completes all pending writes.
     Sync(u16),
-    /// Turns ask the replicas that they have not asked yet.
+    /// Turns send requests to the replicas that have not received them yet.
     Ask,
-    /// A turn hands out an event, if it may.
+    /// A turn outputs an event, if it may.
     Emit(u16),
     /// A turn ends.
     End(u16),
-    /// A turn's entry dies.
+    /// A turn's entry crashes.
     Abandon(u16),
-    /// A keeper's process dies; what it wrote stays.
+    /// A keeper's process crashes; its writes are retained.
     Kill(u16),
-    /// A keeper's VM loses power; what was not synced is gone.
+    /// A keeper's VM loses power; writes that were not synced are lost.
     PowerCut(u16),
     /// A keeper loses its disk.
     Wipe(u16),
-    /// A keeper is back.
+    /// A keeper restarts.
     Restart(u16),
     /// A keeper copies from another one.
     Copy(u16, u16),
     /// A keeper copies from all others.
     CatchUp(u16),
-    /// A new keeper comes.
+    /// A new keeper joins.
     Join,
-    /// A keeper is to leave.
+    /// A keeper is marked as leaving.
     Leave(u16),
     /// An entry reads the list of keepers.
     Learn(u16),
 }
 
-/// What happened in a world, to see that it did something.
+/// Counts of what happened, to check that a simulation was not trivial.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Turns that ended, on a majority.
+    /// Turns whose end was stored by a majority.
     pub ended: usize,
-    /// Turns that the budget did not hold.
+    /// Turns that were refused because of the budget.
     pub spent: usize,
-    /// Turns that handed something out.
-    pub handed: usize,
+    /// Turns that output something.
+    pub with_output: usize,
     /// Disks that were wiped.
     pub wiped: usize,
     /// Changes of the list that were completed.
@@ -90,7 +90,7 @@
     pub fn add(&mut self, other: &Counts) {
         self.ended += other.ended;
         self.spent += other.spent;
-        self.handed += other.handed;
+        self.with_output += other.with_output;
         self.wiped += other.wiped;
         self.changed += other.changed;
     }
@@ -105,21 +105,21 @@
     Seen(View),
     Synced,
     EndSynced,
-    Unbegun,
+    StartMissing,
     Stale(Membership),
-    Lost,
+    Disconnected,
 }
 
 struct Envelope {
     turn: usize,
     node: Arc<str>,
-    life: u32,
+    boot: u32,
     body: Body,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Waits {
-    Nobody,
+enum Ack {
+    None,
     Note,
     End,
 }
@@ -127,15 +127,16 @@
 #[derive(Default)]
 struct KeeperNode {
     up: bool,
-    life: u32,
-    whole: bool,
+    boot: u32,
+    complete: bool,
     ledger: Ledger,
     disk: Vec<Record>,
-    written: Vec<(Record, usize, Waits)>,
+    written: Vec<(Record, usize, Ack)>,
     membership: Membership,
-    /// From whom it copied, and since which list programs had not moved then.
+    /// Keepers that it copied from, each with [`Membership::moved`] of the list at
+    /// that time.
     copied: BTreeSet<(u64, Arc<str>)>,
-    /// Whether the list was renewed since the disk was lost.
+    /// Whether the list has got a new epoch since the disk was lost.
     renewed: bool,
 }
 
@@ -151,7 +152,7 @@
 
     fn view(&self, begin: &Begin) -> View {
         View {
-            whole: self.whole,
+            whole: self.complete,
             shares: self.ledger.shares(&begin.program, &begin.turn),
             previous: Presence::Never,
         }
@@ -171,31 +172,31 @@
     entry: usize,
     membership: Membership,
     opening: Opening,
-    asked: BTreeMap<Arc<str>, u32>,
+    sent: BTreeMap<Arc<str>, u32>,
     noted: BTreeSet<Arc<str>>,
-    looking: bool,
+    second_query: bool,
     phase: Phase,
-    handed: u64,
+    output_tokens: u64,
     finish: Option<Finish>,
     ended: BTreeSet<Arc<str>>,
 }
 
-/// The world.
+/// The simulated keepers and turns.
 pub struct TurnWorld {
     faults: usize,
     keepers: BTreeMap<Arc<str>, KeeperNode>,
     list: Membership,
-    known: [Membership; ENTRIES],
+    known_lists: [Membership; ENTRIES],
     turns: Vec<Turn>,
-    mail: Vec<Envelope>,
-    counted: BTreeSet<Arc<str>>,
-    names: usize,
-    /// What happened.
+    messages: Vec<Envelope>,
+    committed: BTreeSet<Arc<str>>,
+    next_number: usize,
+    /// Counts of what happened.
     pub counts: Counts,
 }
 
-/// Returns some numbers that follow from one.
-fn draws(n: u16) -> impl Iterator<Item = u16> {
+/// Returns a few pseudo-random numbers derived from `n`.
+fn pseudo_random(n: u16) -> impl Iterator<Item = u16> {
     let mut state = u32::from(n);
     (0..n % 24).map(move |_| {
         state = state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
@@ -208,7 +209,7 @@
 }
 
 impl TurnWorld {
-    /// Makes a world of so many keepers, of which `faults` may be lost.
+    /// Creates a simulation of `count` keepers, of which `faults` may fail.
     pub fn new(faults: usize, count: usize) -> Self {
         let mut list = Membership::default();
         let mut keepers = BTreeMap::new();
@@ -221,7 +222,7 @@
                 name,
                 KeeperNode {
                     up: true,
-                    whole: true,
+                    complete: true,
                     ..KeeperNode::default()
                 },
             );
@@ -233,22 +234,22 @@
         Self {
             faults,
             keepers,
-            known: std::array::from_fn(|_| list.clone()),
+            known_lists: std::array::from_fn(|_| list.clone()),
             list,
             turns: Vec::new(),
-            mail: Vec::new(),
-            counted: BTreeSet::new(),
-            names: count,
+            messages: Vec::new(),
+            committed: BTreeSet::new(),
+            next_number: count,
             counts: Counts::default(),
         }
     }
 
-    /// Does one thing, and checks what must hold.
+    /// Simulates one event, and checks the invariants.
     pub fn step(&mut self, action: Action) -> Result<(), String> {
         match action {
             Action::Start(count, most) => (0..=count % 3).for_each(|turn| self.start(most ^ turn)),
             Action::Deliver(n) => {
-                for at in draws(n) {
+                for at in pseudo_random(n) {
                     self.deliver(at)?;
                 }
             }
@@ -271,7 +272,7 @@
             Action::Leave(n) => self.leave(n),
             Action::Learn(n) => {
                 let entry = usize::from(n) % ENTRIES;
-                self.known[entry] = self.list.clone();
+                self.known_lists[entry] = self.list.clone();
             }
         }
         self.check()
@@ -300,25 +301,26 @@
                 3 * EVENT
             },
         };
-        let membership = self.known[entry].clone();
+        let membership = self.known_lists[entry].clone();
         let replicas = membership.replicas(&begin.program, self.faults);
         self.turns.push(Turn {
             opening: Opening::new(replicas, Some(BUDGET), begin.most),
             begin,
             entry,
             membership,
-            asked: BTreeMap::new(),
+            sent: BTreeMap::new(),
             noted: BTreeSet::new(),
-            looking: false,
+            second_query: false,
             phase: Phase::Opening,
-            handed: 0,
+            output_tokens: 0,
             finish: None,
             ended: BTreeSet::new(),
         });
         self.ask(id as u16);
     }
 
-    /// Asks all replicas that were not asked, or whose link ended since.
+    /// Sends a turn's request to all replicas that have not received it, or whose
+    /// link was lost since.
     fn ask(&mut self, n: u16) {
         if self.turns.is_empty() {
             return;
@@ -334,10 +336,10 @@
             let Some(keeper) = self.keepers.get(&node).filter(|keeper| keeper.up) else {
                 continue;
             };
-            if turn.asked.contains_key(&node) || turn.ended.contains(&node) {
+            if turn.sent.contains_key(&node) || turn.ended.contains(&node) {
                 continue;
             }
-            turn.asked.insert(node.clone(), keeper.life);
+            turn.sent.insert(node.clone(), keeper.boot);
             let body = match &turn.finish {
                 None => Body::Note(turn.begin.clone()),
                 Some(finish) => {
@@ -345,28 +347,29 @@
                     Body::End(full.then(|| turn.begin.clone()), finish.clone())
                 }
             };
-            self.mail.push(Envelope {
+            self.messages.push(Envelope {
                 turn: id,
-                life: keeper.life,
+                boot: keeper.boot,
                 node,
                 body,
             });
         }
     }
 
-    /// Delivers a message; those between a turn and a keeper keep their order.
+    /// Delivers a message. Messages between the same turn and keeper stay in
+    /// order.
     fn deliver(&mut self, n: u16) -> Result<(), String> {
-        if self.mail.is_empty() {
+        if self.messages.is_empty() {
             return Ok(());
         }
-        let at = usize::from(n) % self.mail.len();
-        let (turn, node) = (self.mail[at].turn, self.mail[at].node.clone());
+        let at = usize::from(n) % self.messages.len();
+        let (turn, node) = (self.messages[at].turn, self.messages[at].node.clone());
         let first = self
-            .mail
+            .messages
             .iter()
-            .position(|mail| mail.turn == turn && mail.node == node)
-            .expect("there is one at least");
-        let envelope = self.mail.remove(first);
+            .position(|message| message.turn == turn && message.node == node)
+            .expect("there is at least one");
+        let envelope = self.messages.remove(first);
         match &envelope.body {
             Body::Note(_) | Body::Look | Body::End(..) => self.at_keeper(envelope),
             _ => self.at_turn(envelope)?,
@@ -375,10 +378,10 @@
     }
 
     fn reply(&mut self, to: &Envelope, body: Body) {
-        self.mail.push(Envelope {
+        self.messages.push(Envelope {
             turn: to.turn,
             node: to.node.clone(),
-            life: to.life,
+            boot: to.boot,
             body,
         });
     }
@@ -388,7 +391,7 @@
         let Some(keeper) = self.keepers.get_mut(&envelope.node) else {
             return;
         };
-        if !keeper.up || keeper.life != envelope.life {
+        if !keeper.up || keeper.boot != envelope.boot {
             return;
         }
         let stale = epoch < keeper.membership.epoch;
@@ -402,7 +405,7 @@
             Body::Note(begin) => {
                 let view = keeper.view(&begin);
                 keeper.ledger.apply(now, Record::Begin(begin.clone()));
-                let written = (Record::Begin(begin), envelope.turn, Waits::Note);
+                let written = (Record::Begin(begin), envelope.turn, Ack::Note);
                 keeper.written.push(written);
                 self.reply(&envelope, Body::Noted(view));
             }
@@ -411,16 +414,16 @@
                 self.reply(&envelope, Body::Seen(view));
             }
             Body::End(None, finish) if !keeper.ledger.has_begun(&finish.turn) => {
-                self.reply(&envelope, Body::Unbegun);
+                self.reply(&envelope, Body::StartMissing);
             }
             Body::End(begin, finish) => {
                 if let Some(record) = begin.map(Record::Begin) {
                     keeper.ledger.apply(now, record.clone());
-                    keeper.written.push((record, envelope.turn, Waits::Nobody));
+                    keeper.written.push((record, envelope.turn, Ack::None));
                 }
                 let record = Record::Finish(finish);
                 keeper.ledger.apply(now, record.clone());
-                keeper.written.push((record, envelope.turn, Waits::End));
+                keeper.written.push((record, envelope.turn, Ack::End));
             }
             _ => {}
         }
@@ -441,20 +444,20 @@
             Body::Synced => Step::Synced,
             Body::EndSynced => {
                 turn.ended.insert(envelope.node.clone());
-                self.count_end(id);
+                self.record_end(id);
                 return Ok(());
             }
             Body::Stale(list) => {
-                self.begin_anew(id, list);
+                self.apply_newer_list(id, list);
                 return Ok(());
             }
-            Body::Unbegun => {
-                turn.asked.remove(&envelope.node);
+            Body::StartMissing => {
+                turn.sent.remove(&envelope.node);
                 turn.noted.remove(&envelope.node);
                 return Ok(());
             }
-            Body::Lost => {
-                turn.asked.remove(&envelope.node);
+            Body::Disconnected => {
+                turn.sent.remove(&envelope.node);
                 turn.noted.remove(&envelope.node);
                 Step::Lost
             }
@@ -463,58 +466,60 @@
         if turn.phase == Phase::Ending || turn.phase == Phase::Over {
             return Ok(());
         }
-        let late = turn.looking && matches!(step, Step::Noted(_));
+        let late = turn.second_query && matches!(step, Step::Noted(_));
         match turn.opening.step(at, step) {
             Verdict::Ask => {
-                turn.looking = true;
+                turn.second_query = true;
                 let noted: Vec<Arc<str>> = turn.noted.iter().cloned().collect();
-                noted.iter().for_each(|node| self.look(id, node));
+                noted
+                    .iter()
+                    .for_each(|node| self.send_second_query(id, node));
             }
             Verdict::Go if turn.phase == Phase::Opening => turn.phase = Phase::Running,
             Verdict::Spent => {
                 self.counts.spent += 1;
                 self.finish(id, false);
             }
-            Verdict::Go | Verdict::Wait if late => self.look(id, &envelope.node),
+            Verdict::Go | Verdict::Wait if late => self.send_second_query(id, &envelope.node),
             Verdict::Go | Verdict::Wait => {}
         }
         Ok(())
     }
 
-    fn look(&mut self, id: usize, node: &Arc<str>) {
-        if let Some(&life) = self.turns[id].asked.get(node) {
-            self.mail.push(Envelope {
+    fn send_second_query(&mut self, id: usize, node: &Arc<str>) {
+        if let Some(&boot) = self.turns[id].sent.get(node) {
+            self.messages.push(Envelope {
                 turn: id,
                 node: node.clone(),
-                life,
+                boot,
                 body: Body::Look,
             });
         }
     }
 
-    /// A turn goes by a newer list: one that is being opened starts anew, one
-    /// that runs is broken off, one that ends asks the new replicas.
-    fn begin_anew(&mut self, id: usize, list: Membership) {
+    /// Applies a newer list to a turn: an opening turn starts again, a running one
+    /// is aborted, and an ending one sends its end to the new replicas.
+    fn apply_newer_list(&mut self, id: usize, list: Membership) {
         let turn = &mut self.turns[id];
-        if self.known[turn.entry].epoch < list.epoch {
-            self.known[turn.entry] = list;
+        if self.known_lists[turn.entry].epoch < list.epoch {
+            self.known_lists[turn.entry] = list;
         }
         match turn.phase {
             Phase::Opening => {
-                turn.membership = self.known[turn.entry].clone();
+                turn.membership = self.known_lists[turn.entry].clone();
                 let replicas = turn.membership.replicas(&turn.begin.program, self.faults);
                 turn.opening = Opening::new(replicas, Some(BUDGET), turn.begin.most);
-                turn.looking = false;
-                turn.asked.clear();
+                turn.second_query = false;
+                turn.sent.clear();
                 turn.noted.clear();
-                self.mail.retain(|mail| mail.turn != id);
+                self.messages.retain(|message| message.turn != id);
             }
             Phase::Running => self.finish(id, false),
             Phase::Ending => {
-                turn.membership = self.known[turn.entry].clone();
+                turn.membership = self.known_lists[turn.entry].clone();
                 turn.ended.clear();
-                turn.asked.clear();
-                self.mail.retain(|mail| mail.turn != id);
+                turn.sent.clear();
+                self.messages.retain(|message| message.turn != id);
             }
             Phase::Over => {}
         }
@@ -526,8 +531,8 @@
         };
         let turn = &mut self.turns[id];
         if turn.opening.is_durable() {
-            self.counts.handed += usize::from(turn.handed == 0);
-            turn.handed = turn.begin.most;
+            self.counts.with_output += usize::from(turn.output_tokens == 0);
+            turn.output_tokens = turn.begin.most;
         }
     }
 
@@ -551,23 +556,23 @@
             turn: turn.begin.turn.clone(),
             program: turn.begin.program.clone(),
             output: Bytes::new(),
-            used: turn.handed,
+            used: turn.output_tokens,
             whole,
         });
         turn.phase = Phase::Ending;
-        turn.asked.clear();
-        turn.membership = self.known[turn.entry].clone();
+        turn.sent.clear();
+        turn.membership = self.known_lists[turn.entry].clone();
         self.ask(id as u16);
     }
 
-    fn count_end(&mut self, id: usize) {
+    fn record_end(&mut self, id: usize) {
         let turn = &mut self.turns[id];
         let replicas = turn.membership.replicas(&turn.begin.program, self.faults);
         let done = |at: usize| turn.ended.contains(&turn.membership.keepers[at].node);
         if turn.phase == Phase::Ending && replicas.majority(done) {
             turn.phase = Phase::Over;
             if turn.finish.as_ref().is_some_and(|finish| finish.whole) {
-                self.counted.insert(turn.begin.turn.clone());
+                self.committed.insert(turn.begin.turn.clone());
                 self.counts.ended += 1;
             }
         }
@@ -576,7 +581,7 @@
     fn abandon(&mut self, n: u16) {
         if let Some(id) = self.nth(n, |turn| turn.phase != Phase::Over) {
             self.turns[id].phase = Phase::Over;
-            self.mail.retain(|mail| mail.turn != id);
+            self.messages.retain(|message| message.turn != id);
         }
     }
 
@@ -586,32 +591,31 @@
         if !keeper.up {
             return;
         }
-        let life = keeper.life;
+        let boot = keeper.boot;
         let written = std::mem::take(&mut keeper.written);
-        for (record, turn, waits) in written {
+        for (record, turn, ack) in written {
             keeper.disk.push(record);
-            let body = match waits {
-                Waits::Nobody => continue,
-                Waits::Note => Body::Synced,
-                Waits::End => Body::EndSynced,
+            let body = match ack {
+                Ack::None => continue,
+                Ack::Note => Body::Synced,
+                Ack::End => Body::EndSynced,
             };
-            self.mail.push(Envelope {
+            self.messages.push(Envelope {
                 turn,
                 node: name.clone(),
-                life,
+                boot,
                 body,
             });
         }
     }
 
-    /// Stops a keeper. What it has written and not synced is lost with the
-    /// power; a disk is wiped only while no more than may be lost lack
-    /// something.
+    /// Stops a keeper. With `power`, its writes that are not synced are lost. A disk
+    /// is wiped only if no more keepers then lack turns than may fail.
     fn stop(&mut self, n: u16, power: bool, wipe: bool) {
         let name = self.name(n);
         let lacking = self.keepers.iter();
         let lacking =
-            lacking.filter(|(other, keeper)| **other != name && self.lacks(other, keeper));
+            lacking.filter(|(other, keeper)| **other != name && self.may_lack_turns(other, keeper));
         if wipe && lacking.count() >= self.faults {
             return;
         }
@@ -620,7 +624,7 @@
             return;
         }
         keeper.up = false;
-        keeper.life += 1;
+        keeper.boot += 1;
         let written = std::mem::take(&mut keeper.written);
         if !power {
             let records = written.into_iter().map(|(record, _, _)| record);
@@ -628,28 +632,28 @@
         }
         if wipe {
             keeper.disk.clear();
-            keeper.whole = false;
+            keeper.complete = false;
             keeper.renewed = false;
             self.counts.wiped += 1;
         }
-        self.mail.retain(|mail| mail.node != name);
+        self.messages.retain(|message| message.node != name);
         for id in 0..self.turns.len() {
-            if self.turns[id].asked.contains_key(&name) {
-                self.mail.push(Envelope {
+            if self.turns[id].sent.contains_key(&name) {
+                self.messages.push(Envelope {
                     turn: id,
                     node: name.clone(),
-                    life: 0,
-                    body: Body::Lost,
+                    boot: 0,
+                    body: Body::Disconnected,
                 });
             }
         }
     }
 
-    /// Returns whether a keeper on the list may lack something.
-    fn lacks(&self, name: &str, keeper: &KeeperNode) -> bool {
+    /// Returns whether a keeper on the list may lack turns.
+    fn may_lack_turns(&self, name: &str, keeper: &KeeperNode) -> bool {
         self.list.place(name).is_some_and(|at| {
             let listed = &self.list.keepers[at];
-            !keeper.whole || (self.list.is_changing() && !listed.ready)
+            !keeper.complete || (self.list.is_changing() && !listed.ready)
         })
     }
 
@@ -663,8 +667,8 @@
         }
     }
 
-    /// Copies what a keeper has to hold from another one, and lets it count as
-    /// whole once it has copied from enough.
+    /// Copies what a keeper has to store from another one, and marks it as complete
+    /// once it has copied from enough keepers.
     fn copy(&mut self, n: u16, from: u16) {
         let (name, other) = (self.name(n), self.name(from));
         let list = self.list.clone();
@@ -673,12 +677,12 @@
         };
         let own = &list.keepers[at];
         let keeper = &self.keepers[&name];
-        let done = keeper.whole && (own.ready || !list.is_changing());
+        let done = keeper.complete && (own.ready || !list.is_changing());
         if !keeper.up || done || own.standing == Standing::Leaving {
             return;
         }
-        let had = own.standing == Standing::Member && !keeper.whole;
-        if had && !keeper.renewed {
+        let lost_data = own.standing == Standing::Member && !keeper.complete;
+        if lost_data && !keeper.renewed {
             self.list = list.renew();
             self.keepers.get_mut(&name).expect("it was named").renewed = true;
             return;
@@ -694,11 +698,11 @@
         let missing = others
             .filter(|k| !copied.contains(&(list.moved, k.node.clone())))
             .count();
-        if missing > list.may_miss(&name, had, self.faults) {
+        if missing > list.may_miss(&name, lost_data, self.faults) {
             return;
         }
         let keeper = self.keepers.get_mut(&name).expect("it was named");
-        keeper.whole = true;
+        keeper.complete = true;
         if let Some(next) = list.ready(&name) {
             self.counts.changed += usize::from(!next.is_changing());
             self.list = next;
@@ -708,17 +712,17 @@
     fn copy_from(&mut self, name: &Arc<str>, other: &Arc<str>, list: &Membership) {
         let joining = |k: &limpetferry_lib::membership::Keeper| k.standing == Standing::Joining;
         let listed = list.place(other).map(|at| &list.keepers[at]);
-        let giver = self.keepers.get_mut(other).expect("it was named");
-        if name == other || !giver.up || !giver.whole || listed.is_none_or(joining) {
+        let source = self.keepers.get_mut(other).expect("it was named");
+        if name == other || !source.up || !source.complete || listed.is_none_or(joining) {
             return;
         }
-        giver.membership = list.clone();
+        source.membership = list.clone();
         let mut records = Vec::new();
-        for program in giver.ledger.programs() {
+        for program in source.ledger.programs() {
             let replicas = list.replicas(program, self.faults);
             let mut places = replicas.keepers.iter();
             if places.any(|&at| list.keepers[at].node == *name) {
-                records.extend(giver.ledger.records(program));
+                records.extend(source.ledger.records(program));
             }
         }
         let keeper = self.keepers.get_mut(name).expect("it was named");
@@ -734,9 +738,9 @@
         if self.list.is_changing() || self.list.keepers.len() > 2 * self.faults + 3 {
             return;
         }
-        let name: Arc<str> = format!("keeper-{}", self.names).into();
-        let address = address(self.names);
-        self.names += 1;
+        let name: Arc<str> = format!("keeper-{}", self.next_number).into();
+        let address = address(self.next_number);
+        self.next_number += 1;
         let next = self.list.join(&name, address, self.faults);
         self.list = next.expect("it is new");
         let keeper = KeeperNode {
@@ -759,29 +763,35 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let mut handed: HashMap<&str, u64> = HashMap::new();
+        let mut output_tokens: HashMap<&str, u64> = HashMap::new();
         for turn in &self.turns {
-            *handed.entry(&turn.begin.program).or_default() += turn.handed;
+            *output_tokens.entry(&turn.begin.program).or_default() += turn.output_tokens;
         }
-        if let Some((program, tokens)) = handed.iter().find(|(_, tokens)| **tokens > BUDGET) {
-            return Err(format!("{program} was handed {tokens} of {BUDGET} tokens"));
+        if let Some((program, tokens)) = output_tokens.iter().find(|(_, tokens)| **tokens > BUDGET)
+        {
+            return Err(format!(
+                "{program} output {tokens} tokens of a budget of {BUDGET}"
+            ));
         }
-        for list in &self.known {
+        for list in &self.known_lists {
             self.check_history(list)?;
         }
         Ok(())
     }
 
-    /// A turn that counts is never taken for one that does not exist.
+    /// Checks that a committed turn is never taken for one that does not exist.
     fn check_history(&self, list: &Membership) -> Result<(), String> {
-        for turn in &self.counted {
+        for turn in &self.committed {
             let never = list.keepers.iter().filter(|listed| {
                 let keeper = self.keepers.get(&listed.node);
-                keeper.is_some_and(|keeper| keeper.up && keeper.whole && !keeper.ledger.has(turn))
+                keeper
+                    .is_some_and(|keeper| keeper.up && keeper.complete && !keeper.ledger.has(turn))
             });
             let never = never.count();
             if never > 0 && never + self.faults >= list.keepers.len() {
-                return Err(format!("{turn} counts, and {never} keepers say never"));
+                return Err(format!(
+                    "{turn} is committed, but {never} keepers answer that it never existed"
+                ));
             }
         }
         Ok(())
--- a/lib/tests/turns.rs
+++ b/lib/tests/turns.rs
@@ -1,5 +1,6 @@
-//! Budgets and histories of turns, over random interleavings of late answers,
-//! lost links, power cuts, wiped disks and changes of the list of keepers.
+//! Checks budgets and histories of turns over random interleavings of late
+//! answers, lost links, power cuts, wiped disks and changes of the list of
+//! keepers.
 
 mod turn_world;
 
@@ -11,9 +12,9 @@
 use turn_world::Action;
 use turn_world::TurnWorld;
 
-/// Actions of one run.
+/// Number of actions in one run.
 const STEPS: usize = 500;
-/// Runs in CI; a longer run sets `LIMPETFERRY_RUNS`.
+/// Number of runs in CI; `LIMPETFERRY_RUNS` sets another number.
 const RUNS: u32 = 400;
 
 fn number(name: &str, default: u64) -> u64 {
@@ -42,10 +43,10 @@
     ]
 }
 
-/// What happens before many keepers: as above, with fewer failures and more
-/// returns, since each of them meets one keeper of many, and with keepers that
-/// copy from all others, without which no change of the list ends.
-fn action_of_many() -> impl Strategy<Value = Action> {
+/// Actions for many keepers: as [`action`], but with fewer failures and more
+/// restarts, since each of these affects only one keeper of many, and with keepers
+/// that copy from all others, without which no change of the list completes.
+fn action_for_many_keepers() -> impl Strategy<Value = Action> {
     let n = any::<u16>();
     prop_oneof![
         8 => (n, any::<u16>()).prop_map(|(program, most)| Action::Start(program, most)),
@@ -65,9 +66,9 @@
     ]
 }
 
-/// What happens while turns of one program begin at once and nothing fails:
-/// the pattern of sub-agents that start together near the end of a budget.
-fn crowd() -> impl Strategy<Value = Action> {
+/// Actions for turns of one program that start at once, without failures: the
+/// pattern of sub-agents that start together near the end of a budget.
+fn simultaneous_starts() -> impl Strategy<Value = Action> {
     let n = any::<u16>();
     prop_oneof![
         2 => (n, any::<u16>()).prop_map(|(count, most)| Action::Start(count, most)),
@@ -77,11 +78,11 @@
     ]
 }
 
-/// What happens while keepers fail in the middle of the same.
-fn failing_crowd() -> impl Strategy<Value = Action> {
+/// The same actions with failures of keepers.
+fn simultaneous_starts_with_failures() -> impl Strategy<Value = Action> {
     let n = any::<u16>();
     prop_oneof![
-        40 => crowd(),
+        40 => simultaneous_starts(),
         1 => n.prop_map(Action::PowerCut),
         2 => n.prop_map(Action::Restart),
         2 => Just(Action::Ask),
@@ -134,16 +135,16 @@
 
 #[test]
 fn turns_that_begin_at_once_stay_within_the_budget() {
-    let counts = run(1, 3, 6_000, 150, crowd());
+    let counts = run(1, 3, 6_000, 150, simultaneous_starts());
 
-    assert!(counts.handed > 2_000, "{counts:?}");
+    assert!(counts.with_output > 2_000, "{counts:?}");
 }
 
 #[test]
 fn turns_that_begin_at_once_stay_within_the_budget_over_power_cuts() {
-    let counts = run(1, 3, 6_000, 150, failing_crowd());
+    let counts = run(1, 3, 6_000, 150, simultaneous_starts_with_failures());
 
-    assert!(counts.handed > 2_000, "{counts:?}");
+    assert!(counts.with_output > 2_000, "{counts:?}");
 }
 
 #[test]
@@ -163,7 +164,7 @@
 
 #[test]
 fn budgets_and_histories_hold_while_a_list_of_24_keepers_changes() {
-    let counts = run(2, 24, RUNS / 4, 4 * STEPS, action_of_many());
+    let counts = run(2, 24, RUNS / 4, 4 * STEPS, action_for_many_keepers());
 
     assert!(
         counts.ended > 200 && counts.wiped > 20 && counts.changed > 20,
@@ -173,8 +174,9 @@
 
 #[test]
 fn an_end_counts_only_where_the_beginning_is() {
-    // A keeper noted the beginning, lost it with the power, and was back before
-    // the gateway heard of it: the end went there without the beginning.
+    // Guards against an end that is stored without its start. A keeper recorded
+    // the start, lost it in a power cut, and restarted before the gateway noticed,
+    // so that the gateway sent it only the end.
     let actions = [
         Action::Start(965, 0),
         Action::Deliver(3683),
@@ -212,14 +214,15 @@
     let mut world = TurnWorld::new(1, 4);
 
     for action in actions {
-        world.step(action).expect("every promise holds");
+        world.step(action).expect("every invariant holds");
     }
 }
 
 #[test]
 fn an_acknowledgement_from_before_a_lost_disk_does_not_count() {
-    // A keeper acknowledged an end and lost its disk; it copied from another
-    // one before that had the end, which then acknowledged it as the second.
+    // Guards against a committed end that is stored only once. A keeper
+    // acknowledged an end and lost its disk. It copied from another keeper before
+    // that one had the end, which then was the second keeper to acknowledge it.
     let actions = [
         Action::Start(16931, 0),
         Action::Deliver(21843),
@@ -325,6 +328,6 @@
     let mut world = TurnWorld::new(1, 3);
 
     for action in actions {
-        world.step(action).expect("every promise holds");
+        world.step(action).expect("every invariant holds");
     }
 }
