--- a/lib/tests/turn_world/mod.rs
+++ b/lib/tests/turn_world/mod.rs
@@ -119,7 +119,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Ack {
-    None,
+    NoReply,
     Note,
     End,
 }
@@ -419,7 +419,7 @@
             Body::End(begin, finish) => {
                 if let Some(record) = begin.map(Record::Begin) {
                     keeper.ledger.apply(now, record.clone());
-                    keeper.written.push((record, envelope.turn, Ack::None));
+                    keeper.written.push((record, envelope.turn, Ack::NoReply));
                 }
                 let record = Record::Finish(finish);
                 keeper.ledger.apply(now, record.clone());
@@ -596,7 +596,7 @@
         for (record, turn, ack) in written {
             keeper.disk.push(record);
             let body = match ack {
-                Ack::None => continue,
+                Ack::NoReply => continue,
                 Ack::Note => Body::Synced,
                 Ack::End => Body::EndSynced,
             };
