--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,4 +1,4 @@
-//! How many calls of a deployment run and wait at once.
+//! Limits the number of running and waiting calls of each deployment.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,30 +13,31 @@
 type Key = (Operator, Deployment);
 
 #[derive(Clone, Debug, Default)]
-struct Lane {
+struct DeploymentCalls {
     running: u64,
-    waiting: BTreeSet<(Urgency, Time, CallId)>,
+    queued: BTreeSet<(Urgency, Time, CallId)>,
 }
 
-/// The calls that run and wait, by deployment.
+/// The running and waiting calls of each deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    lanes: BTreeMap<Key, Lane>,
+    deployments: BTreeMap<Key, DeploymentCalls>,
 }
 
 impl Admission {
-    /// Lets a call run, if fewer run than may; returns whether it does.
-    pub fn enter(&mut self, key: &Key, limits: &Limits) -> bool {
-        let lane = self.lanes.entry(key.clone()).or_default();
-        if lane.running >= limits.running || !lane.waiting.is_empty() {
+    /// Starts a call if the limit allows and no call waits. Returns whether it
+    /// was started.
+    pub fn try_start(&mut self, key: &Key, limits: &Limits) -> bool {
+        let calls = self.deployments.entry(key.clone()).or_default();
+        if calls.running >= limits.running || !calls.queued.is_empty() {
             return false;
         }
-        lane.running += 1;
+        calls.running += 1;
         true
     }
 
-    /// Lets a call wait, if fewer wait than may; returns whether it does.
-    pub fn wait(
+    /// Queues a call if the limit allows. Returns whether it was queued.
+    pub fn try_queue(
         &mut self,
         key: &Key,
         limits: &Limits,
@@ -44,35 +45,35 @@
         now: Time,
         call: CallId,
     ) -> bool {
-        let lane = self.lanes.entry(key.clone()).or_default();
-        if lane.waiting.len() as u64 >= limits.waiting {
+        let calls = self.deployments.entry(key.clone()).or_default();
+        if calls.queued.len() as u64 >= limits.waiting {
             return false;
         }
-        lane.waiting.insert((urgency, now, call))
+        calls.queued.insert((urgency, now, call))
     }
 
-    /// Notes that a running call has ended.
-    pub fn leave(&mut self, key: &Key) {
-        if let Some(lane) = self.lanes.get_mut(key) {
-            lane.running = lane.running.saturating_sub(1);
+    /// Frees the slot of a running call that has ended.
+    pub fn finish(&mut self, key: &Key) {
+        if let Some(calls) = self.deployments.get_mut(key) {
+            calls.running = calls.running.saturating_sub(1);
         }
     }
 
-    /// Removes a call that waits.
-    pub fn withdraw(&mut self, key: &Key, call: CallId) {
-        if let Some(lane) = self.lanes.get_mut(key) {
-            lane.waiting.retain(|(_, _, waiting)| *waiting != call);
+    /// Removes a call from the queue.
+    pub fn remove_queued(&mut self, key: &Key, call: CallId) {
+        if let Some(calls) = self.deployments.get_mut(key) {
+            calls.queued.retain(|(_, _, queued)| *queued != call);
         }
     }
 
-    /// Lets the most urgent of the waiting calls run, if one may.
-    pub fn next(&mut self, key: &Key, limits: &Limits) -> Option<CallId> {
-        let lane = self.lanes.get_mut(key)?;
-        if lane.running >= limits.running {
+    /// Starts the most urgent waiting call, if the limit allows.
+    pub fn start_next(&mut self, key: &Key, limits: &Limits) -> Option<CallId> {
+        let calls = self.deployments.get_mut(key)?;
+        if calls.running >= limits.running {
             return None;
         }
-        let (_, _, call) = lane.waiting.pop_first()?;
-        lane.running += 1;
+        let (_, _, call) = calls.queued.pop_first()?;
+        calls.running += 1;
         Some(call)
     }
 }
--- a/lib/src/effect.rs
+++ b/lib/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the reducers ask their surroundings to do.
+//! Effects: the I/O that the state machines request.
 
 use crate::id::CallId;
 use crate::id::NodeId;
@@ -9,21 +9,21 @@
 use crate::program::Target;
 use crate::shard::Block;
 
-/// Names one caller that waits at an entry's listener.
+/// Identifies a caller's request at an entry's listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerKey(pub u64);
 
-/// One thing that happened and that an operator may want to know of.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
     /// Name of the event.
     pub event: &'static str,
-    /// What it was about, as pairs of key and value.
+    /// Key-value pairs that describe it.
     pub pairs: Vec<(&'static str, String)>,
 }
 
 impl Note {
-    /// Makes a note without pairs.
+    /// Creates an event without pairs.
     pub fn new(event: &'static str) -> Self {
         Self {
             event,
@@ -39,12 +39,12 @@
     }
 }
 
-/// What a reducer asks its surroundings to do.
+/// An action that a state machine requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Sends a message, if there is a link; otherwise it is dropped.
+    /// Sends a message. It is dropped if there is no link to the receiver.
     Send {
-        /// The other process.
+        /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
@@ -60,67 +60,68 @@
     Finish {
         /// The caller.
         caller: CallerKey,
-        /// The last word.
+        /// The final reply.
         reply: Reply,
     },
-    /// Replaces a shard block in the key-value service, if it still has the
-    /// revision; zero if it must not exist yet.
+    /// Replaces a shard block in the key-value service by compare-and-swap on
+    /// its revision.
     Swap {
         /// Number of the block.
         block: u16,
-        /// Revision that is replaced.
+        /// Expected revision; zero if the block must not exist yet.
         revision: u64,
         /// The new assignments.
         value: Block,
     },
-    /// Reads a shard block again, since a swap was lost or refused.
+    /// Reads a shard block again, after a swap was rejected or its answer was
+    /// lost.
     Reread {
         /// Number of the block.
         block: u16,
     },
-    /// Starts a call at the backend server.
+    /// Starts a call on the backend server.
     Start {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u64,
-        /// The work.
+        /// The request to the backend server.
         work: Work,
     },
-    /// Drops the connection of a call at the backend server.
+    /// Closes the connection of a call to the backend server.
     Abort {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u64,
     },
-    /// Releases what the backend server holds in cache for a program.
+    /// Releases the backend server's cache for a program.
     Release {
         /// The program.
         program: ProgramId,
     },
-    /// Stores a change of the copies, before the effects that follow: they
-    /// tell others that it is safe.
+    /// Writes a change of the copies to disk, before the effects that follow
+    /// are carried out: they acknowledge the change to other processes.
     Store(Box<CopyRecord>),
-    /// Logs what happened.
+    /// Logs an event.
     Note(Note),
 }
 
-/// Work for a backend server, ready to be sent.
+/// A request to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
     /// The program.
     pub program: ProgramId,
-    /// What to ask.
+    /// The model or service to use.
     pub target: Target,
-    /// JSON texts of the messages, for a model.
+    /// The messages as JSON, for a model.
     pub turns: Vec<String>,
-    /// Body, or a model's further parameters.
+    /// The body for a service, or further parameters for a model.
     pub body: Vec<u8>,
-    /// Bound of the answer's tokens.
+    /// Upper bound of the answer's tokens.
     pub tokens: u64,
-    /// Engine priority; lower is sooner.
+    /// Engine priority; lower values run first.
     pub priority: u8,
-    /// Fencing number for engines that honour one.
+    /// Fencing number for engines that support one.
     pub fence: u64,
 }
--- a/lib/src/ending.rs
+++ b/lib/src/ending.rs
@@ -1,4 +1,5 @@
-//! The end of a call: budgets, history, and the word to its callers.
+//! The end of a call: settles budgets, extends the history and replies to the
+//! callers.
 
 use crate::budget::Amount;
 use crate::code::Code;
@@ -21,30 +22,31 @@
 use crate::owner::State;
 use crate::owner::Step;
 use crate::owner::Watcher;
-use crate::owner::ending;
-use crate::owner::gained;
-use crate::owner::outcome_word;
+use crate::owner::ending_reply;
+use crate::owner::history_update;
+use crate::owner::limits_per_entry;
+use crate::owner::outcome_label;
 use crate::owner::reply;
 use crate::owner::send_bytes;
-use crate::owner::share;
 use crate::owner::update;
 use crate::program::CallRecord;
 use crate::program::CallStage;
 
 impl Owner {
-    /// Refuses a call that has not been given to any server.
+    /// Refuses a call that is not running at any server.
     pub(crate) fn refuse(&mut self, cx: &mut Context<'_>, id: CallId, refusal: Refusal) {
         debug_assert!(refusal.code.ran() != Ran::Ran);
         self.conclude(cx, id, Outcome::Refused(refusal));
     }
 
-    /// Cancels a call: at once if it has not been given to a server.
+    /// Cancels a call: immediately if it has not been sent to a server,
+    /// otherwise through the server.
     pub(crate) fn cancel(&mut self, cx: &mut Context<'_>, id: CallId, code: Code) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         match &call.state {
-            State::Ahead | State::Admitting | State::Reserving { .. } => {
+            State::AwaitingTurn | State::AwaitingAdmission | State::PersistingIntent { .. } => {
                 self.refuse(cx, id, Refusal::new(code));
             }
             State::Running { server, .. } | State::Settling { server, .. } => {
@@ -60,9 +62,10 @@
         }
     }
 
-    /// Notes the end of a call, and tells its callers once the keeper has it.
+    /// Records the outcome of a call. The callers get the reply once the
+    /// keeper has acknowledged the outcome.
     pub(crate) fn conclude(&mut self, cx: &mut Context<'_>, id: CallId, outcome: Outcome) {
-        self.count(id, false);
+        self.count_outstanding(id, false);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -82,7 +85,7 @@
             _ => None,
         };
         call.server.clone_from(&server);
-        let was_ahead = call.state == State::Ahead;
+        let was_awaiting_turn = call.state == State::AwaitingTurn;
         call.state = State::Recording {
             outcome: outcome.clone(),
         };
@@ -92,20 +95,20 @@
             self.finish(cx, id);
             return;
         };
-        let change = self.conclude_program(cx, id, &outcome, server.as_ref(), was_ahead);
+        let change = self.apply_outcome(cx, id, &outcome, server.as_ref(), was_awaiting_turn);
         let seq = self.keep(cx, shard, change.unwrap_or(Change::Probe));
         self.after(cx, shard, seq, Step::Finish(id));
     }
 
-    /// Notes the end of a call in its program; returns the change for the
-    /// keeper, if there is anything to keep.
-    pub(crate) fn conclude_program(
+    /// Updates the program of a call that has ended. Returns the change for
+    /// the keeper, if there is any.
+    pub(crate) fn apply_outcome(
         &mut self,
         cx: &mut Context<'_>,
         id: CallId,
         outcome: &Outcome,
         server: Option<&NodeId>,
-        was_ahead: bool,
+        was_awaiting_turn: bool,
     ) -> Option<Change> {
         let call = self.calls.get_mut(&id)?;
         call.record.stage = CallStage::Done(outcome.clone());
@@ -120,9 +123,9 @@
         self.settle_budget(program_id, need, used);
         let above = self.budgets_above(program_id);
         let program = self.programs.get_mut(&program_id)?;
-        program.touched = cx.now;
-        if was_ahead {
-            program.ahead.retain(|_, waiting| *waiting != id);
+        program.last_active = cx.now;
+        if was_awaiting_turn {
+            program.queued.retain(|_, waiting| *waiting != id);
             return (program.running == Some(id)).then(|| {
                 program.running = None;
                 program.copy.head.next -= 1;
@@ -133,29 +136,35 @@
             program.copy.head.next = record.number;
         }
         program.copy.put(record.clone());
-        let (turns, replace) = gained(&record, outcome);
+        let (turns, replace) = history_update(&record, outcome);
         program.copy.remember(replace, turns.clone());
         if let Outcome::Answer(answer) = outcome {
             program.copy.head.attained += answer.tokens;
         }
         if let Some(server) = server.filter(|_| !record.turns.is_empty()) {
-            self.move_cache(cx, program_id, server);
+            self.record_cache_server(cx, program_id, server);
         }
         let program = self.programs.get(&program_id)?;
         Some(update(&program.copy, above, Some(record), turns, replace))
     }
 
-    /// Notes that `server` may hold cache for a program now, whatever became
-    /// of the call, and releases what an earlier server or a gone program has.
-    pub(crate) fn move_cache(&mut self, cx: &mut Context<'_>, id: ProgramId, server: &NodeId) {
+    /// Records that `server` may now hold prompt cache for a program, whether
+    /// the call succeeded or not. Releases the cache on the previous server,
+    /// and on `server` too if the program has ended.
+    pub(crate) fn record_cache_server(
+        &mut self,
+        cx: &mut Context<'_>,
+        id: ProgramId,
+        server: &NodeId,
+    ) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
         };
         let head = &mut program.copy.head;
         let old = head.warm.replace(server.clone());
-        let left = old.filter(|old| old != server);
-        let gone = if head.ended { head.warm.take() } else { None };
-        for node in left.into_iter().chain(gone) {
+        let previous = old.filter(|old| old != server);
+        let current = if head.ended { head.warm.take() } else { None };
+        for node in previous.into_iter().chain(current) {
             cx.send(&node, Message::Release { program: id });
         }
     }
@@ -166,9 +175,9 @@
         };
         let key = (call.operator.clone(), call.deployment.clone());
         if std::mem::take(&mut call.admitted) {
-            self.admission.leave(&key);
+            self.admission.finish(&key);
         } else {
-            self.admission.withdraw(&key, id);
+            self.admission.remove_queued(&key, id);
         }
         self.admit_next(cx, &key);
     }
@@ -177,18 +186,18 @@
         let Some(rules) = cx.documents.rules(&key.0, &key.1) else {
             return;
         };
-        let limits = share(&rules.limits, cx.members.entries() + 1);
-        if let Some(next) = self.admission.next(key, &limits) {
+        let limits = limits_per_entry(&rules.limits, cx.members.entries() + 1);
+        if let Some(next) = self.admission.start_next(key, &limits) {
             if let Some(call) = self.calls.get_mut(&next) {
                 call.admitted = true;
                 self.place(cx, next);
             } else {
-                self.admission.leave(key);
+                self.admission.finish(key);
             }
         }
     }
 
-    /// Tells the callers of a call how it ended, and lets the next one run.
+    /// Replies to the callers of a call and starts the program's next call.
     pub(crate) fn finish(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.remove(&id) else {
             return;
@@ -201,13 +210,13 @@
             .get(&call.program)
             .map_or(Digest::default(), |program| program.copy.history.digest());
         for watcher in &call.watchers {
-            reply(cx, watcher, ending(&call.record, &outcome, digest));
+            reply(cx, watcher, ending_reply(&call.record, &outcome, digest));
         }
         let note = Note::new("call_ended")
             .with("call", id)
             .with("program", call.program)
             .with("number", call.record.number)
-            .with("outcome", outcome_word(&outcome));
+            .with("outcome", outcome_label(&outcome));
         cx.note(note);
         let Some(program) = self.programs.get_mut(&call.program) else {
             return;
@@ -218,7 +227,7 @@
         self.next_turn(cx, call.program);
     }
 
-    pub(crate) fn answer_again(
+    pub(crate) fn replay_answer(
         &mut self,
         cx: &mut Context<'_>,
         watcher: &Watcher,
@@ -237,7 +246,7 @@
             .programs
             .get(&program)
             .map_or(Digest::default(), |program| program.copy.history.digest());
-        reply(cx, watcher, ending(record, outcome, digest));
+        reply(cx, watcher, ending_reply(record, outcome, digest));
     }
 
     pub(crate) fn withdraw(
@@ -254,7 +263,7 @@
             .retain(|watcher| watcher.ticket != ticket || watcher.node != *from);
         let keyed = call.request.as_ref().is_none_or(|request| request.keyed);
         if call.watchers.is_empty() && !keyed && call.record.idempotent {
-            // Nobody can ask for this answer any more.
+            // No caller can fetch this answer any more.
             self.cancel(cx, id, Code::DeadlinePassed);
         }
     }
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -1,4 +1,5 @@
-//! The reducer of an entry: callers, shards, members and settings.
+//! The state machine of an entry process: callers, shards, members and
+//! settings.
 
 use std::collections::BTreeMap;
 
@@ -32,53 +33,54 @@
 use crate::shard::ShardMap;
 use crate::time::Time;
 
-/// Wait after a swap of a block before the next one.
-const SWAP_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
-/// Longest wait for the answer to a swap.
-const SWAP_WAIT: std::time::Duration = std::time::Duration::from_secs(5);
-/// Time between two messages about oneself to each peer.
-const BEAT: std::time::Duration = std::time::Duration::from_secs(1);
+/// Shortest time between two swaps of the same block.
+const MIN_SWAP_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
+/// Time without an answer to a swap after which the block is read again.
+const SWAP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
+/// Interval of the heartbeats to each peer.
+const HEARTBEAT_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// What can happen to an entry.
+/// An input of an entry.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller asks for something.
+    /// A caller sent a request.
     Caller {
         /// The caller.
         caller: CallerKey,
-        /// What it asks.
+        /// The request.
         request: Request,
-        /// Bytes of the answer that it has.
+        /// Number of answer bytes that the caller already has.
         offset: u64,
     },
     /// A caller closed its connection.
     CallerGone(CallerKey),
-    /// A message of another process came.
+    /// A message arrived from another process.
     Message {
-        /// The other process.
+        /// The sender.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// A link was made.
+    /// A link to another process was established.
     LinkUp {
         /// The other process.
         node: NodeId,
-        /// Its life.
+        /// Its boot number.
         boot: Boot,
     },
-    /// A link was lost.
+    /// The link to another process was lost.
     LinkDown {
         /// The other process.
         node: NodeId,
     },
     /// The registry of processes was read.
     Registry(Vec<Node>),
-    /// The VM list was read: VMs that it has, with their state.
+    /// The VM list was read: the listed VMs and their states.
     VmList(Vec<(String, Listed)>),
-    /// The names of servers that operators drain were read.
+    /// The list of servers that operators are draining was read.
     Drains(Vec<NodeId>),
-    /// A shard block was read; revision zero means that there is none yet.
+    /// A shard block was read; revision zero means that it does not exist
+    /// yet.
     Block {
         /// Number of the block.
         block: u16,
@@ -87,25 +89,25 @@
         /// Its value.
         value: Block,
     },
-    /// A swap took effect.
+    /// A swap succeeded.
     Swapped {
         /// Number of the block.
         block: u16,
-        /// Its revision now.
+        /// Its new revision.
         revision: u64,
         /// The value that was written.
         value: Block,
     },
-    /// A swap was refused, or its answer was lost.
+    /// A swap was rejected, or its answer was lost.
     SwapFailed {
         /// Number of the block.
         block: u16,
     },
-    /// An envelope was read from the key-value service.
+    /// A settings envelope was read from the key-value service.
     Document(String),
-    /// Time passed.
+    /// The timer fired.
     Tick,
-    /// The process is to stop: its shards are given away.
+    /// The process shuts down: it hands its shards to other entries.
     Stop,
 }
 
@@ -121,13 +123,13 @@
     front: Front,
     owner: Owner,
     planner: Planner,
-    /// Blocks that have been read, so that they may be swapped.
-    known: Vec<bool>,
-    /// When the swap under way was sent, by block.
-    swaps: BTreeMap<u16, Time>,
-    /// When the last swap of a block ended.
-    swapped: BTreeMap<u16, Time>,
-    beat: Option<Time>,
+    /// Whether each block has been read; only then may it be swapped.
+    blocks_read: Vec<bool>,
+    /// When the pending swap of each block was sent.
+    pending_swaps: BTreeMap<u16, Time>,
+    /// When the last swap of each block completed or failed.
+    last_swaps: BTreeMap<u16, Time>,
+    last_heartbeat: Option<Time>,
 }
 
 macro_rules! context {
@@ -145,8 +147,8 @@
 }
 
 impl Entry {
-    /// Makes an entry that knows nothing yet. `seed` starts its random
-    /// source.
+    /// Creates an entry without members, shards or settings. `seed` seeds its
+    /// random number generator.
     pub fn new(node: NodeId, centre: DataCentre, boot: Boot, rules: Rules, seed: u64) -> Self {
         let map = ShardMap::new(rules.shards);
         Self {
@@ -156,20 +158,20 @@
                 node: node.clone(),
                 leaving: false,
             },
-            known: vec![false; usize::from(map.blocks())],
+            blocks_read: vec![false; usize::from(map.blocks())],
             map,
             members: Members::default(),
             documents: Documents::default(),
-            swaps: BTreeMap::new(),
-            swapped: BTreeMap::new(),
-            beat: None,
+            pending_swaps: BTreeMap::new(),
+            last_swaps: BTreeMap::new(),
+            last_heartbeat: None,
             node,
             centre,
             rules,
         }
     }
 
-    /// Returns the members that it knows.
+    /// Returns the known members.
     pub fn members(&self) -> &Members {
         &self.members
     }
@@ -179,17 +181,17 @@
         &self.documents
     }
 
-    /// Returns the assignments that it knows.
+    /// Returns the known shard assignments.
     pub fn map(&self) -> &ShardMap {
         &self.map
     }
 
-    /// Returns its callers.
+    /// Returns the waiting callers.
     pub fn front(&self) -> &Front {
         &self.front
     }
 
-    /// Returns what it owns.
+    /// Returns the state of the shards that it owns.
     pub fn owner(&self) -> &Owner {
         &self.owner
     }
@@ -199,22 +201,23 @@
         self.owner.shards.len()
     }
 
-    /// Returns whether nothing keeps it from exiting: no caller waits, and
-    /// no shard is held that another entry could take.
+    /// Returns whether the process may exit: no caller waits and no call is
+    /// open.
     pub fn is_idle(&self) -> bool {
         self.front.is_empty() && self.owner.calls_open() == 0
     }
 
-    /// Handles an event and adds what is to be done to `out`.
+    /// Handles an event and appends the resulting effects to `out`.
     pub fn step(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         let start = out.len();
         self.handle(now, event, out);
-        self.deliver_own(now, out, start);
+        self.deliver_to_self(now, out, start);
     }
 
-    /// Handles the messages that the entry sent to itself, which need no
-    /// link, until there are none.
-    fn deliver_own(&mut self, now: Time, out: &mut Vec<Effect>, start: usize) {
+    /// Takes the messages that the entry sent to itself out of `out` and
+    /// handles them directly, since there is no link to itself. Repeats until
+    /// none is left.
+    fn deliver_to_self(&mut self, now: Time, out: &mut Vec<Effect>, start: usize) {
         let mut at = start;
         while at < out.len() {
             let own = matches!(&out[at], Effect::Send { to, .. } if *to == self.node);
@@ -237,18 +240,18 @@
                 offset,
             } => {
                 let mut cx = context!(self, now, out);
-                self.front.arrive(&mut cx, caller, request, offset);
+                self.front.on_request(&mut cx, caller, request, offset);
             }
             Event::CallerGone(caller) => {
                 let mut cx = context!(self, now, out);
-                self.front.gone(&mut cx, caller);
+                self.front.on_disconnect(&mut cx, caller);
             }
             Event::Message { from, message } => self.message(now, &from, message, out),
             Event::LinkUp { node, boot } => {
                 self.members.link_up(now, &node, boot);
                 let mut cx = context!(self, now, out);
                 self.owner.link_up(&mut cx, &node, boot);
-                self.send_beat(&node, out);
+                self.send_heartbeat(&node, out);
             }
             Event::LinkDown { node } => {
                 self.members.link_down(now, &node);
@@ -264,24 +267,25 @@
                 revision,
                 value,
             } => {
-                self.swaps.remove(&block);
-                if let Some(known) = self.known.get_mut(usize::from(block)) {
-                    *known = true;
+                self.pending_swaps.remove(&block);
+                if let Some(read) = self.blocks_read.get_mut(usize::from(block)) {
+                    *read = true;
                 }
-                self.learn(now, block, revision, &value, out);
+                self.apply_block(now, block, revision, &value, out);
             }
             Event::Swapped {
                 block,
                 revision,
                 value,
             } => {
-                self.swaps.remove(&block);
-                self.swapped.insert(block, now);
-                self.learn(now, block, revision, &value, out);
+                self.pending_swaps.remove(&block);
+                self.last_swaps.insert(block, now);
+                self.apply_block(now, block, revision, &value, out);
             }
             Event::SwapFailed { block } => {
-                // Whether it took effect shows when the block is read.
-                self.swapped.insert(block, now);
+                // The swap may have taken effect all the same; reading the
+                // block shows it.
+                self.last_swaps.insert(block, now);
                 out.push(Effect::Reread { block });
             }
             Event::Document(text) => self.document(&text, out),
@@ -337,8 +341,9 @@
         }
     }
 
-    /// Takes over newer assignments, and what follows from them.
-    fn learn(
+    /// Applies a newer revision of a block: acquires and releases shards
+    /// accordingly and forwards the block to all members.
+    fn apply_block(
         &mut self,
         now: Time,
         block: u16,
@@ -354,7 +359,7 @@
         for shard in changed {
             let offset = usize::from(shard.0 % crate::shard::BLOCK_SHARDS);
             let old = before.get(offset).cloned().unwrap_or_default();
-            self.assigned(now, shard, &old, out);
+            self.apply_assignment(now, shard, &old, out);
         }
         for member in self.members.iter() {
             out.push(Effect::Send {
@@ -368,7 +373,13 @@
         }
     }
 
-    fn assigned(&mut self, now: Time, shard: ShardId, old: &Assignment, out: &mut Vec<Effect>) {
+    fn apply_assignment(
+        &mut self,
+        now: Time,
+        shard: ShardId,
+        old: &Assignment,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(assignment) = self.map.get(shard).cloned() else {
             return;
         };
@@ -380,32 +391,38 @@
         let epoch = assignment.epoch;
         let lost = assignment.lost == epoch;
         let held = self.owner.shards.get(&shard);
-        // If an epoch in between was never seen here, another process owned
-        // the shard then, and only its keeper knows what happened.
-        let goes_on = held.is_some_and(|held| held.epoch.0 + 1 == epoch.0);
+        // If epochs were skipped, another process owned the shard meanwhile,
+        // and the local state is stale; the keeper's copy is current.
+        let is_next_epoch = held.is_some_and(|held| held.epoch.0 + 1 == epoch.0);
         let whole = held.is_some_and(|held| held.phase == Phase::Whole);
-        if goes_on && old.owner == assignment.owner && (whole || lost) {
+        if is_next_epoch && old.owner == assignment.owner && (whole || lost) {
             self.owner.renew(&mut cx, shard, &assignment);
             return;
         }
-        let fresh = epoch.0 == 1 || lost;
-        self.owner.acquire(&mut cx, shard, &assignment, fresh);
+        let is_new = epoch.0 == 1 || lost;
+        self.owner.acquire(&mut cx, shard, &assignment, is_new);
     }
 
     fn message(&mut self, now: Time, from: &NodeId, message: Message, out: &mut Vec<Effect>) {
         match message {
-            Message::Beat(beat) => self.beat(now, from, &beat, out),
+            Message::Beat(heartbeat) => self.on_heartbeat(now, from, &heartbeat, out),
             Message::Document(text) => self.document(&text, out),
             Message::Block {
                 block,
                 revision,
                 value,
-            } => self.learn(now, block, revision, &value, out),
-            other => self.work_message(now, from, other, out),
+            } => self.apply_block(now, block, revision, &value, out),
+            other => self.program_message(now, from, other, out),
         }
     }
 
-    fn work_message(&mut self, now: Time, from: &NodeId, message: Message, out: &mut Vec<Effect>) {
+    fn program_message(
+        &mut self,
+        now: Time,
+        from: &NodeId,
+        message: Message,
+        out: &mut Vec<Effect>,
+    ) {
         let mut cx = context!(self, now, out);
         let cx = &mut cx;
         let (front, owner) = (&mut self.front, &mut self.owner);
@@ -452,21 +469,26 @@
                 attempt,
                 standing,
             } => owner.settled(cx, from, call, attempt, standing),
-            // The rest is for side processes, or was handled before.
+            // All others are for side processes or were handled by `message`.
             _ => {}
         }
     }
 
-    fn beat(&mut self, now: Time, from: &NodeId, beat: &Beat, out: &mut Vec<Effect>) {
-        self.members.heard(now, from, beat.load, beat.leaving);
-        for text in self.documents.newer_than(&beat.versions) {
+    fn on_heartbeat(&mut self, now: Time, from: &NodeId, heartbeat: &Beat, out: &mut Vec<Effect>) {
+        self.members
+            .heard(now, from, heartbeat.load, heartbeat.leaving);
+        for text in self.documents.newer_than(&heartbeat.versions) {
             out.push(Effect::Send {
                 to: from.clone(),
                 message: Message::Document(text.to_owned()),
             });
         }
         for block in 0..self.map.blocks() {
-            let theirs = beat.blocks.get(usize::from(block)).copied().unwrap_or(0);
+            let theirs = heartbeat
+                .blocks
+                .get(usize::from(block))
+                .copied()
+                .unwrap_or(0);
             let revision = self.map.revision(block);
             if theirs < revision {
                 out.push(Effect::Send {
@@ -481,8 +503,8 @@
         }
     }
 
-    fn send_beat(&self, to: &NodeId, out: &mut Vec<Effect>) {
-        let beat = Beat {
+    fn send_heartbeat(&self, to: &NodeId, out: &mut Vec<Effect>) {
+        let heartbeat = Beat {
             versions: self.documents.versions(),
             blocks: (0..self.map.blocks())
                 .map(|b| self.map.revision(b))
@@ -492,22 +514,25 @@
         };
         out.push(Effect::Send {
             to: to.clone(),
-            message: Message::Beat(beat),
+            message: Message::Beat(heartbeat),
         });
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.beat.is_none_or(|last| now.since(last) >= BEAT) {
-            self.beat = Some(now);
+        if self
+            .last_heartbeat
+            .is_none_or(|last| now.since(last) >= HEARTBEAT_INTERVAL)
+        {
+            self.last_heartbeat = Some(now);
             let linked = self.members.iter().filter(|member| member.boot().is_some());
             let peers: Vec<NodeId> = linked.map(|member| member.node.id.clone()).collect();
             for peer in peers {
-                self.send_beat(&peer, out);
+                self.send_heartbeat(&peer, out);
             }
             let mut cx = context!(self, now, out);
             let adopting: Vec<ShardId> = self.owner.shards.keys().copied().collect();
             for shard in adopting {
-                self.owner.ask_copy(&mut cx, shard);
+                self.owner.request_copy(&mut cx, shard);
             }
         }
         let mut cx = context!(self, now, out);
@@ -519,26 +544,27 @@
     }
 
     fn plan(&mut self, now: Time, block: u16, out: &mut Vec<Effect>) {
-        if !self.known[usize::from(block)] {
+        if !self.blocks_read[usize::from(block)] {
             return;
         }
-        match self.swaps.get(&block) {
-            Some(sent) if now.since(*sent) < SWAP_WAIT => return,
+        match self.pending_swaps.get(&block) {
+            Some(sent) if now.since(*sent) < SWAP_TIMEOUT => return,
             Some(_) => {
-                // The answer was lost; reading tells whether it took effect.
-                self.swaps.insert(block, now);
+                // The answer was lost; reading the block shows whether the
+                // swap took effect.
+                self.pending_swaps.insert(block, now);
                 out.push(Effect::Reread { block });
                 return;
             }
             None => {}
         }
-        let last = self.swapped.get(&block);
-        if last.is_some_and(|last| now.since(*last) < SWAP_PAUSE) {
+        let last = self.last_swaps.get(&block);
+        if last.is_some_and(|last| now.since(*last) < MIN_SWAP_INTERVAL) {
             return;
         }
         let cx = context!(self, now, out);
         if let Some(value) = self.planner.plan(&cx, &self.owner, block) {
-            self.swaps.insert(block, now);
+            self.pending_swaps.insert(block, now);
             out.push(Effect::Swap {
                 block,
                 revision: self.map.revision(block),
--- a/lib/src/front.rs
+++ b/lib/src/front.rs
@@ -1,5 +1,5 @@
-//! The callers that wait at an entry: to whom their requests went, and what
-//! of their answers they have.
+//! The callers that wait at an entry: the owner that each request was
+//! submitted to and the number of answer bytes that each caller has received.
 
 use std::collections::BTreeMap;
 
@@ -14,37 +14,40 @@
 use crate::message::Ticket;
 use crate::outcome::Refusal;
 use crate::owner::Context;
-use crate::owner::is_free;
+use crate::owner::is_stateless;
 use crate::time::Time;
 
-/// How often a request without an owner is submitted anew.
-const RETRY_MILLIS: u64 = 100;
+/// Interval at which a request without an owner is resubmitted.
+const RETRY_INTERVAL_MS: u64 = 100;
 
 #[derive(Debug)]
 struct Waiter {
     caller: CallerKey,
     request: Request,
-    /// The owner that it was submitted to; `None` while there is none.
+    /// The owner that the request was submitted to; `None` while there is
+    /// none.
     owner: Option<NodeId>,
-    /// Whether it was ever submitted.
+    /// Whether the request was ever submitted to an owner.
     submitted: bool,
-    /// Bytes that the caller has.
+    /// Number of answer bytes that the caller has received.
     offset: u64,
-    /// Run of the call that those bytes belong to.
+    /// The attempt that those bytes belong to.
     attempt: Option<u64>,
+    /// When the request was last submitted or lost its owner.
     since: Time,
-    /// End of the caller's patience.
-    patience: Time,
-    /// When it is given up though an owner has it.
+    /// When a request that was never submitted times out.
+    submit_deadline: Time,
+    /// When the request times out even if an owner has it.
     deadline: Time,
 }
 
 impl Waiter {
-    /// Returns whether there is nothing left to wait for: an owner that has
-    /// the request ends it, and settles what became of it; of one that never
-    /// left this process there is nothing to settle.
-    fn is_over(&self, now: Time) -> bool {
-        self.deadline <= now || !self.submitted && self.patience <= now
+    /// Returns whether the request has timed out. A submitted request has
+    /// more time, since its owner ends it at the caller's deadline and may
+    /// then have to find out whether the call ran. A request that never left
+    /// this process cannot have run.
+    fn has_expired(&self, now: Time) -> bool {
+        self.deadline <= now || !self.submitted && self.submit_deadline <= now
     }
 }
 
@@ -59,7 +62,7 @@
 }
 
 impl Front {
-    /// Makes a front without callers.
+    /// Creates a front without callers.
     pub(crate) fn new(node: NodeId, boot: Boot) -> Self {
         Self {
             node,
@@ -80,7 +83,7 @@
         self.waiters.is_empty()
     }
 
-    pub(crate) fn arrive(
+    pub(crate) fn on_request(
         &mut self,
         cx: &mut Context<'_>,
         caller: CallerKey,
@@ -91,10 +94,10 @@
             Request::Call(call) => call.patience,
             _ => cx.rules.cold_wait(),
         };
-        // The owner ends a call at its deadline; the wait beyond it is for
-        // settling what became of it.
-        let patience = cx.now + patience;
-        let deadline = patience + cx.rules.settle_wait() * 2;
+        // The owner ends a call at the end of the caller's patience. The
+        // additional time lets it find out whether the call ran.
+        let submit_deadline = cx.now + patience;
+        let deadline = submit_deadline + cx.rules.settle_wait() * 2;
         let waiter = Waiter {
             caller,
             request,
@@ -103,14 +106,14 @@
             offset,
             attempt: None,
             since: cx.now,
-            patience,
+            submit_deadline,
             deadline,
         };
         self.submit(cx, waiter);
     }
 
-    /// Submits a request to the owner of its program, under a new ticket, so
-    /// that what comes for an older one goes nowhere.
+    /// Submits a request to the owner of its program under a new ticket, so
+    /// that late messages for an earlier submission are dropped.
     fn submit(&mut self, cx: &mut Context<'_>, mut waiter: Waiter) {
         self.serial += 1;
         let ticket = Ticket {
@@ -133,16 +136,16 @@
     }
 
     fn owner_of(&self, cx: &Context<'_>, request: &Request) -> Option<NodeId> {
-        if matches!(request, Request::Call(call) if is_free(call)) {
+        if matches!(request, Request::Call(call) if is_stateless(call)) {
             return Some(self.node.clone());
         }
         let shard = request.program().shard(cx.rules.shards);
         let owner = cx.map.get(shard)?.owner.as_ref()?;
-        let here = *owner == self.node || cx.members.is_linked(owner);
-        here.then(|| owner.clone())
+        let reachable = *owner == self.node || cx.members.is_linked(owner);
+        reachable.then(|| owner.clone())
     }
 
-    pub(crate) fn gone(&mut self, cx: &mut Context<'_>, caller: CallerKey) {
+    pub(crate) fn on_disconnect(&mut self, cx: &mut Context<'_>, caller: CallerKey) {
         let Some(ticket) = self.tickets.remove(&caller) else {
             return;
         };
@@ -171,7 +174,7 @@
             return;
         }
         if waiter.attempt.is_some_and(|known| known != attempt) {
-            self.restarted(cx, ticket);
+            self.refuse_restarted_answer(cx, ticket);
             return;
         }
         let end = offset + bytes.len() as u64;
@@ -179,17 +182,18 @@
             return;
         }
         waiter.attempt = Some(attempt);
-        let fresh = bytes[(waiter.offset - offset) as usize..].to_vec();
+        let new_bytes = bytes[(waiter.offset - offset) as usize..].to_vec();
         waiter.offset = end;
         cx.out.push(Effect::Chunk {
             caller: waiter.caller,
-            bytes: fresh,
+            bytes: new_bytes,
         });
     }
 
-    /// Ends a request whose answer began anew: a mix of two answers is never
-    /// given.
-    fn restarted(&mut self, cx: &mut Context<'_>, ticket: Ticket) {
+    /// Refuses a request whose call was restarted after the caller had
+    /// received a part of the answer, so that the caller never gets a mix of
+    /// two answers.
+    fn refuse_restarted_answer(&mut self, cx: &mut Context<'_>, ticket: Ticket) {
         let detail = "the answer began anew; ask again with the same idempotency key from offset 0";
         self.finish(
             cx,
@@ -217,11 +221,12 @@
                 waiter.since = cx.now;
             }
             Reply::Ended(ending) => {
-                let other = waiter.attempt.is_some_and(|known| known != ending.attempt);
-                if other || waiter.offset > ending.size {
-                    self.restarted(cx, ticket);
+                let other_attempt = waiter.attempt.is_some_and(|known| known != ending.attempt);
+                if other_attempt || waiter.offset > ending.size {
+                    self.refuse_restarted_answer(cx, ticket);
                 } else if waiter.offset < ending.size {
-                    // Bytes are missing: ask for the rest, never end short.
+                    // Bytes are missing. Resubmit to fetch the rest instead
+                    // of ending with a truncated answer.
                     waiter.owner = None;
                     waiter.since = cx.now;
                 } else {
@@ -252,15 +257,16 @@
         }
     }
 
-    /// Submits anew what has no owner, and ends what has waited too long.
+    /// Resubmits requests without an owner and ends those that have timed
+    /// out.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
-        let retry = std::time::Duration::from_millis(RETRY_MILLIS);
+        let retry = std::time::Duration::from_millis(RETRY_INTERVAL_MS);
         let due: Vec<Ticket> = self
             .waiters
             .iter()
             .filter(|(_, waiter)| {
-                let again = waiter.owner.is_none() && cx.now.since(waiter.since) >= retry;
-                again || waiter.is_over(cx.now)
+                let retry_due = waiter.owner.is_none() && cx.now.since(waiter.since) >= retry;
+                retry_due || waiter.has_expired(cx.now)
             })
             .map(|(ticket, _)| *ticket)
             .collect();
@@ -268,8 +274,8 @@
             let Some(waiter) = self.waiters.remove(&ticket) else {
                 continue;
             };
-            if waiter.is_over(cx.now) {
-                let refusal = given_up(&waiter);
+            if waiter.has_expired(cx.now) {
+                let refusal = timeout_refusal(&waiter);
                 self.waiters.insert(ticket, waiter);
                 self.finish(cx, ticket, Reply::Refused(refusal));
             } else {
@@ -279,13 +285,12 @@
     }
 }
 
-/// Returns the last word to a caller whose request reached no owner, or was
-/// lost with one. "Not run" is said only of what never left this process and
-/// cannot have been sent before.
-fn given_up(waiter: &Waiter) -> Refusal {
+/// Returns the refusal for a request that timed out. It states "not run" only
+/// if the request never left this process and cannot have been sent before.
+fn timeout_refusal(waiter: &Waiter) -> Refusal {
     let keyed = match &waiter.request {
         Request::Call(call) => call.keyed,
-        // The id of a program that is opened is new, and reading does no harm.
+        // Opening uses a new program id, and reading has no side effects.
         Request::Open(_) | Request::Read(_) => false,
         Request::End(_) | Request::Judge(_) => true,
     };
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -1,5 +1,6 @@
-//! The owner of program shards: orders calls, holds budgets and histories,
-//! sends each change to the keeper and each call to a server.
+//! The owner of program shards: runs the calls of a program in order, holds
+//! budgets and histories, replicates each change to the shard's keeper and
+//! sends each call to a server.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,7 +39,7 @@
 use crate::outcome::Outcome;
 use crate::outcome::Refusal;
 use crate::placement::Affinity;
-use crate::placement::LOOK_AT_ALL;
+use crate::placement::MAX_FULL_SCAN;
 use crate::program::CallRecord;
 use crate::program::CallRequest;
 use crate::program::ProgramCopy;
@@ -50,14 +51,16 @@
 use crate::shard::ShardMap;
 use crate::time::Time;
 
-/// Bytes of JSON text that count as one token in a reservation.
+/// Bytes of JSON text that are estimated as one token when tokens are
+/// reserved.
 pub(crate) const BYTES_PER_TOKEN: u64 = 3;
 
-/// Changes that wait for one keeper, above which they are dropped and all is
-/// sent anew.
+/// Limit of unacknowledged changes per shard. Beyond it they are dropped and
+/// the keeper gets a full copy instead.
 pub(crate) const MAX_UNKEPT: usize = 10_000;
 
-/// What an owner's decisions depend on, beside its own state.
+/// Inputs of the decisions of [`Owner`] and [`crate::front::Front`] besides
+/// their own state, and the list of effects.
 pub(crate) struct Context<'a> {
     pub now: Time,
     pub centre: &'a DataCentre,
@@ -81,40 +84,42 @@
     }
 }
 
-/// Where a held shard stands.
+/// State of an owned shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Waits for the keeper's copy.
     Adopting,
-    /// Everything is known here.
+    /// All programs of the shard are loaded.
     Whole,
 }
 
-/// A caller's entry that waits for a call.
+/// A submission that waits for the result of a call: the entry that sent it,
+/// and its ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Watcher {
     pub node: NodeId,
     pub ticket: Ticket,
 }
 
-/// A submission that waits until its shard has been taken over.
+/// A submission that is held back until the takeover of its shard is
+/// complete.
 #[derive(Clone, Debug)]
-pub(crate) struct Parked {
+pub(crate) struct ParkedRequest {
     pub(crate) watcher: Watcher,
     pub(crate) request: Request,
     pub(crate) offset: u64,
 }
 
-/// How much of a program a caller asked for.
+/// How much of a program a reply contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Part {
-    /// Its state without messages.
+    /// The state without messages.
     Head,
-    /// Its messages too.
+    /// The state with messages.
     Whole,
 }
 
-/// Something that goes on once the keeper has a change.
+/// An action that is deferred until the keeper has acknowledged a change.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Dispatch(CallId),
@@ -128,22 +133,26 @@
 pub(crate) struct Held {
     pub epoch: Epoch,
     pub keeper: Option<NodeId>,
-    /// Epoch at which the keeper was chosen.
+    /// Epoch in which the keeper was chosen.
     pub chosen: Epoch,
     pub phase: Phase,
     pub since: Time,
-    /// Whether the keeper said that it has no complete copy.
+    /// Whether the keeper reported that it has no complete copy.
     pub hopeless: bool,
-    /// Whether copies of single calls may have been lost.
-    pub lossy: bool,
+    /// Whether both copies of the shard were lost at some time, and with them
+    /// the records of single calls.
+    pub copies_lost: bool,
     pub(crate) seq: u64,
+    /// Changes that the keeper has not acknowledged, by sequence number.
     pub(crate) unkept: VecDeque<(u64, Change)>,
     pub(crate) steps: VecDeque<(u64, Step)>,
-    pub(crate) parked: Vec<Parked>,
+    pub(crate) parked: Vec<ParkedRequest>,
+    /// The part of the keeper's copy that has arrived so far.
     pub(crate) incoming: BTreeMap<ProgramId, ProgramCopy>,
-    /// Whether changes were dropped that the keeper never had.
+    /// Whether changes were dropped that the keeper never received.
     pub(crate) gap: bool,
-    /// Since when changes have waited for an acknowledgement.
+    /// When the wait for the next acknowledgement began; `None` if all changes
+    /// are acknowledged.
     pub(crate) waiting: Option<Time>,
 }
 
@@ -156,7 +165,7 @@
             phase,
             since: now,
             hopeless: false,
-            lossy: assignment.lost.0 > 0,
+            copies_lost: assignment.lost.0 > 0,
             seq: 0,
             unkept: VecDeque::new(),
             steps: VecDeque::new(),
@@ -167,18 +176,19 @@
         }
     }
 
-    /// Returns whether a keeper has everything that is known here.
-    fn is_kept(&self) -> bool {
-        let whole = self.phase == Phase::Whole && self.keeper.is_some();
-        whole && !self.gap && self.unkept.is_empty()
+    /// Returns whether the keeper has acknowledged all changes.
+    fn is_replicated(&self) -> bool {
+        let loaded = self.phase == Phase::Whole && self.keeper.is_some();
+        loaded && !self.gap && self.unkept.is_empty()
     }
 
-    /// Returns whether changes have waited too long for a keeper.
+    /// Returns whether the wait for an acknowledgement has exceeded its limit.
     pub(crate) fn is_stuck(&self, cx: &Context<'_>) -> bool {
         self.phase == Phase::Whole && self.unkept_for(cx.now) >= cx.rules.alone_wait()
     }
 
-    /// Returns how long the oldest change has gone without acknowledgement.
+    /// Returns how long the wait for the next acknowledgement has lasted; zero
+    /// if all changes are acknowledged.
     pub(crate) fn unkept_for(&self, now: Time) -> Duration {
         self.waiting
             .map_or(Duration::ZERO, |since| now.since(since))
@@ -189,36 +199,38 @@
 #[derive(Debug)]
 pub(crate) struct Program {
     pub(crate) copy: ProgramCopy,
-    /// Calls that wait for their turn, by number.
-    pub(crate) ahead: BTreeMap<u64, CallId>,
-    /// The call that has the turn.
+    /// Calls that wait for their turn, by their number in the program.
+    pub(crate) queued: BTreeMap<u64, CallId>,
+    /// The call whose turn it is.
     pub(crate) running: Option<CallId>,
-    pub(crate) touched: Time,
+    pub(crate) last_active: Time,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum State {
     /// Waits for its turn in the program.
-    Ahead,
+    AwaitingTurn,
     /// Waits for admission by the deployment's limits.
-    Admitting,
-    /// Waits for the keeper to have the intent.
-    Reserving { server: NodeId, boot: Boot },
-    /// Given to a server.
+    AwaitingAdmission,
+    /// Waits for the keeper to acknowledge that the call is about to run.
+    PersistingIntent { server: NodeId, boot: Boot },
+    /// Sent to a server.
     Running { server: NodeId, boot: Boot },
-    /// Asked about at a server, after a loss of contact.
+    /// The server is being asked for the state of the call, after a loss of
+    /// contact or a missed deadline.
     Settling {
         server: NodeId,
         boot: Boot,
         since: Time,
     },
-    /// Waits for the keeper to have the outcome.
+    /// Waits for the keeper to acknowledge the outcome.
     Recording { outcome: Outcome },
 }
 
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// `None` for a call taken over whose caller has not come back yet.
+    /// `None` for a call that was taken over and that the caller has not sent
+    /// again yet.
     pub(crate) request: Option<Box<CallRequest>>,
     pub(crate) shard: Option<ShardId>,
     pub(crate) program: ProgramId,
@@ -227,16 +239,17 @@
     pub(crate) watchers: Vec<Watcher>,
     pub(crate) bytes: Vec<u8>,
     pub(crate) deadline: Time,
+    /// Servers that refused the call.
     pub(crate) tried: Vec<NodeId>,
-    /// The server that ended it.
+    /// The server that the call was sent to, once it has ended.
     pub(crate) server: Option<NodeId>,
-    /// Whether it counts against the deployment's running calls.
+    /// Whether it counts towards the running calls of its deployment.
     pub(crate) admitted: bool,
     pub(crate) operator: Operator,
     pub(crate) deployment: Deployment,
 }
 
-/// The owner's state: shards, their programs, and calls under way.
+/// The owner's state: shards, their programs, and open calls.
 #[derive(Debug)]
 pub struct Owner {
     pub(crate) node: NodeId,
@@ -244,22 +257,22 @@
     pub(crate) shards: BTreeMap<ShardId, Held>,
     pub(crate) programs: BTreeMap<ProgramId, Program>,
     pub(crate) calls: BTreeMap<CallId, Call>,
-    pub(crate) timers: BTreeSet<(Time, CallId)>,
-    pub(crate) idle: BTreeSet<(Time, ProgramId)>,
+    pub(crate) call_timers: BTreeSet<(Time, CallId)>,
+    pub(crate) program_timers: BTreeSet<(Time, ProgramId)>,
     pub(crate) admission: Admission,
-    pub(crate) sent: BTreeMap<NodeId, Sent>,
+    pub(crate) outstanding: BTreeMap<NodeId, OutstandingWork>,
     pub(crate) placement: Affinity,
 }
 
-/// Work given to a server that has not ended.
+/// Unfinished work that this owner has sent to a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Sent {
+pub(crate) struct OutstandingWork {
     pub(crate) calls: u32,
     pub(crate) tokens: u64,
 }
 
 impl Owner {
-    /// Makes an owner of nothing.
+    /// Creates an owner without shards.
     pub(crate) fn new(node: NodeId, rng: SmallRng) -> Self {
         Self {
             node,
@@ -267,21 +280,21 @@
             shards: BTreeMap::new(),
             programs: BTreeMap::new(),
             calls: BTreeMap::new(),
-            timers: BTreeSet::new(),
-            idle: BTreeSet::new(),
+            call_timers: BTreeSet::new(),
+            program_timers: BTreeSet::new(),
             admission: Admission::default(),
-            sent: BTreeMap::new(),
+            outstanding: BTreeMap::new(),
             placement: Affinity::default(),
         }
     }
 
-    /// Returns a call's shard with the epoch that its orders carry.
+    /// Returns `shard` with its current epoch, as orders to servers carry it.
     pub(crate) fn epoch_of(&self, shard: Option<ShardId>) -> Option<(ShardId, Epoch)> {
         let shard = shard?;
         self.shards.get(&shard).map(|held| (shard, held.epoch))
     }
 
-    /// Returns the number of calls under way.
+    /// Returns the number of open calls.
     pub fn calls_open(&self) -> usize {
         self.calls.len()
     }
@@ -291,22 +304,25 @@
         self.programs.len()
     }
 
-    /// Returns the number of shards whose keeper has everything.
+    /// Returns the number of shards whose keeper has acknowledged all changes.
     pub fn shards_kept(&self) -> usize {
-        self.shards.values().filter(|held| held.is_kept()).count()
+        self.shards
+            .values()
+            .filter(|held| held.is_replicated())
+            .count()
     }
 
-    /// Returns each program with its changing part.
+    /// Returns the id and head of each program.
     pub fn heads(&self) -> impl Iterator<Item = (ProgramId, &ProgramHead)> {
         self.programs.iter().map(|(id, p)| (*id, &p.copy.head))
     }
 
-    /// Returns each program's copy, for checks by tests.
+    /// Returns the full state of each program, for checks in tests.
     pub fn copies(&self) -> impl Iterator<Item = &ProgramCopy> {
         self.programs.values().map(|program| &program.copy)
     }
 
-    // Links and time.
+    // Links and timers.
 
     pub(crate) fn link_up(&mut self, cx: &mut Context<'_>, node: &NodeId, boot: Boot) {
         let shards: Vec<ShardId> = self
@@ -316,15 +332,15 @@
             .map(|(shard, _)| *shard)
             .collect();
         for shard in shards {
-            self.ask_copy(cx, shard);
+            self.request_copy(cx, shard);
             if let Some(held) = self.shards.get(&shard)
                 && held.phase == Phase::Whole
             {
                 self.resend_unkept(cx, shard, held);
             }
         }
-        let mut asked = Vec::new();
-        let mut lost = Vec::new();
+        let mut to_query = Vec::new();
+        let mut to_end = Vec::new();
         for (id, call) in &self.calls {
             match &call.state {
                 State::Running { server, boot: old }
@@ -332,19 +348,19 @@
                     server, boot: old, ..
                 } if server == node => {
                     if *old == boot {
-                        asked.push(*id)
+                        to_query.push(*id)
                     } else {
-                        lost.push(*id)
+                        to_end.push(*id)
                     }
                 }
                 _ => {}
             }
         }
-        for id in asked {
-            self.ask(cx, id);
+        for id in to_query {
+            self.query_attempt(cx, id);
         }
-        for id in lost {
-            self.give_up(cx, id);
+        for id in to_end {
+            self.conclude_without_result(cx, id);
         }
     }
 
@@ -360,59 +376,61 @@
                     boot: *boot,
                     since: now,
                 };
-                self.timers.insert((limit, *id));
+                self.call_timers.insert((limit, *id));
             }
             call.watchers.retain(|watcher| watcher.node != *node);
         }
     }
 
-    /// Does what is due at this time.
+    /// Handles all timers that are due.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
-        while let Some((due, id)) = self.timers.first().copied() {
+        while let Some((due, id)) = self.call_timers.first().copied() {
             if due > cx.now {
                 break;
             }
-            self.timers.pop_first();
-            self.call_due(cx, id);
+            self.call_timers.pop_first();
+            self.on_call_timer(cx, id);
         }
-        while let Some((due, id)) = self.idle.first().copied() {
+        while let Some((due, id)) = self.program_timers.first().copied() {
             if due > cx.now {
                 break;
             }
-            self.idle.pop_first();
-            self.program_due(cx, id);
+            self.program_timers.pop_first();
+            self.on_program_timer(cx, id);
         }
         self.go_on_alone(cx);
     }
 
-    pub(crate) fn call_due(&mut self, cx: &mut Context<'_>, id: CallId) {
+    pub(crate) fn on_call_timer(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let late = call.deadline <= cx.now;
         match &call.state {
-            State::Ahead if !late => {
+            State::AwaitingTurn if !late => {
                 let refusal = Refusal::with(Code::OutOfTurn, "an earlier call never came");
-                let first = self
+                let none_running = self
                     .programs
                     .get(&call.program)
                     .is_some_and(|p| p.running.is_none());
                 let deadline = call.deadline;
-                if first {
+                if none_running {
                     self.refuse(cx, id, refusal);
                 } else {
-                    self.timers.insert((deadline, id));
+                    self.call_timers.insert((deadline, id));
                 }
             }
-            State::Ahead | State::Admitting | State::Reserving { .. } if late => {
+            State::AwaitingTurn | State::AwaitingAdmission | State::PersistingIntent { .. }
+                if late =>
+            {
                 self.refuse(cx, id, Refusal::new(Code::DeadlinePassed));
             }
-            State::Ahead | State::Admitting | State::Reserving { .. } => {
-                self.timers.insert((call.deadline, id));
+            State::AwaitingTurn | State::AwaitingAdmission | State::PersistingIntent { .. } => {
+                self.call_timers.insert((call.deadline, id));
             }
             State::Running { .. } => {
-                // The server should have ended it; ask once more, then give
-                // up when the answer does not come.
+                // The server should have ended the call by now. Ask for its
+                // state, and stop waiting if no answer arrives in time.
                 let (State::Running { server, boot }, deadline) =
                     (call.state.clone(), cx.now + cx.rules.settle_wait())
                 else {
@@ -425,22 +443,22 @@
                         since: cx.now,
                     };
                 }
-                self.timers.insert((deadline, id));
-                self.ask(cx, id);
+                self.call_timers.insert((deadline, id));
+                self.query_attempt(cx, id);
             }
             State::Settling { since, .. } => {
                 let due = *since + cx.rules.settle_wait();
                 if due <= cx.now {
-                    self.give_up(cx, id);
+                    self.conclude_without_result(cx, id);
                 } else {
-                    self.timers.insert((due, id));
+                    self.call_timers.insert((due, id));
                 }
             }
             State::Recording { .. } => {}
         }
     }
 
-    pub(crate) fn program_due(&mut self, cx: &mut Context<'_>, id: ProgramId) {
+    pub(crate) fn on_program_timer(&mut self, cx: &mut Context<'_>, id: ProgramId) {
         let shard = id.shard(cx.rules.shards);
         let adopting = |held: &Held| held.phase == Phase::Adopting;
         let Some(program) = self.programs.get(&id) else {
@@ -450,25 +468,26 @@
             return;
         }
         let head = &program.copy.head;
-        let over = head.ended || id.is_single();
+        let ended = head.ended || id.is_single();
         let idle = cx
             .documents
             .rules(&head.operator, &head.deployment)
             .map_or(cx.rules.retention(), |rules| {
                 Duration::from_secs(rules.program.idle)
             });
-        let wait = if over { cx.rules.retention() } else { idle };
-        let due = program.touched + wait;
+        let wait = if ended { cx.rules.retention() } else { idle };
+        let due = program.last_active + wait;
         if due > cx.now || program.running.is_some() {
-            let again = due.max(cx.now + Duration::from_secs(1));
-            self.idle.insert((again, id));
-        } else if over {
+            let retry_at = due.max(cx.now + Duration::from_secs(1));
+            self.program_timers.insert((retry_at, id));
+        } else if ended {
             self.programs.remove(&id);
             self.keep(cx, shard, Change::Forget(id));
         } else {
             cx.note(Note::new("program_abandoned").with("program", id));
-            self.end_tree(cx, shard, id);
-            self.idle.insert((cx.now + cx.rules.retention(), id));
+            self.end_subtree(cx, shard, id);
+            self.program_timers
+                .insert((cx.now + cx.rules.retention(), id));
         }
     }
 }
@@ -479,19 +498,20 @@
     }
 }
 
-/// Returns the servers to weigh for a call: all of a few; of many, the one
-/// that may hold the program's cache and a sample, so that the cost of a
-/// decision does not grow with the fleet. `names` is sorted.
+/// Returns the servers to consider for a call. Of up to [`MAX_FULL_SCAN`]
+/// servers, these are all; of more, they are a random sample and the server
+/// that may hold the program's cache, so that the cost of a decision does not
+/// grow with the fleet. `names` must be sorted.
 pub(crate) fn candidates<'a>(
     names: &'a [NodeId],
     warm: Option<&'a NodeId>,
     rng: &mut SmallRng,
 ) -> Vec<&'a NodeId> {
-    if names.len() <= LOOK_AT_ALL {
+    if names.len() <= MAX_FULL_SCAN {
         return names.iter().collect();
     }
     let warm = warm.filter(|name| names.binary_search(name).is_ok());
-    let mut drawn: Vec<&NodeId> = (0..LOOK_AT_ALL)
+    let mut drawn: Vec<&NodeId> = (0..MAX_FULL_SCAN)
         .map(|_| &names[rng.random_range(0..names.len())])
         .chain(warm)
         .collect();
@@ -500,14 +520,17 @@
     drawn
 }
 
-pub(crate) enum Entrance {
-    Fresh(u64),
-    Known(Box<CallRecord>),
+/// Whether a submitted call is new.
+pub(crate) enum CallLookup {
+    /// It is new and gets this number in its program.
+    New(u64),
+    /// It was received before and has this record.
+    Recorded(Box<CallRecord>),
 }
 
-/// Returns whether a call needs no record: nobody can send it again, and
-/// running it twice does no harm.
-pub(crate) fn is_free(call: &CallRequest) -> bool {
+/// Returns whether a call needs no record: the caller cannot send it again,
+/// and it is safe to run twice.
+pub(crate) fn is_stateless(call: &CallRequest) -> bool {
     call.program.is_single() && call.idempotent && !call.keyed
 }
 
@@ -538,7 +561,7 @@
     cx.send(&watcher.node, message);
 }
 
-pub(crate) fn ending(record: &CallRecord, outcome: &Outcome, digest: Digest) -> Reply {
+pub(crate) fn ending_reply(record: &CallRecord, outcome: &Outcome, digest: Digest) -> Reply {
     match outcome {
         Outcome::Answer(Answer {
             status, kind, body, ..
@@ -555,16 +578,16 @@
     }
 }
 
-pub(crate) fn outcome_word(outcome: &Outcome) -> &'static str {
+pub(crate) fn outcome_label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Answer(_) => "answer",
         Outcome::Refused(refusal) => refusal.code.as_str(),
     }
 }
 
-/// Returns what the history gains by the end of a call, and whether that
-/// replaces what it had.
-pub(crate) fn gained(record: &CallRecord, outcome: &Outcome) -> (Vec<Turn>, bool) {
+/// Returns the messages that a finished call adds to the history, and whether
+/// they replace the earlier ones.
+pub(crate) fn history_update(record: &CallRecord, outcome: &Outcome) -> (Vec<Turn>, bool) {
     match outcome {
         Outcome::Answer(Answer {
             turn: Some(turn), ..
@@ -609,7 +632,7 @@
     }
 }
 
-pub(crate) fn need_tokens(request: &CallRequest, history: usize) -> u64 {
+pub(crate) fn estimate_tokens(request: &CallRequest, history: usize) -> u64 {
     match request.target {
         Target::Service { .. } => 0,
         Target::Model(_) => {
@@ -633,8 +656,12 @@
     Duration::from_millis(millis.unwrap_or(0)).min(request.patience)
 }
 
-/// Returns one entry's part of a deployment's limits.
-pub(crate) fn share(limits: &crate::document::Limits, entries: u64) -> crate::document::Limits {
+/// Returns the share of a deployment's limits that each of `entries` entries
+/// may use; at least one call each.
+pub(crate) fn limits_per_entry(
+    limits: &crate::document::Limits,
+    entries: u64,
+) -> crate::document::Limits {
     crate::document::Limits {
         running: (limits.running / entries).max(1),
         waiting: (limits.waiting / entries).max(1),
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,50 +1,52 @@
-//! Where a call runs: prefix cache held there against the queue there.
+//! Chooses the server for a call, weighing its prefix cache against its queue.
 
 use rand::Rng as _;
 use rand::RngCore;
 
 use crate::document::Weights;
 
-/// Up to this many servers are all looked at; of more, a sample is.
-pub const LOOK_AT_ALL: usize = 16;
-/// Size of the sample, beside the server that holds the program's cache.
-pub const SAMPLE: usize = 4;
-/// Times the usual pace from which a server counts as slow.
-const SLOW: f64 = 2.0;
-/// Tokens of prefill that take as long as a call usually runs.
-const RUN: f64 = 40_000.0;
-
-/// What is known of one server that could run a call.
+/// Up to this many servers, all are compared; of more, only a sample.
+pub const MAX_FULL_SCAN: usize = 16;
+/// Size of the sample, besides the servers that hold the program's cache.
+pub const SAMPLE_SIZE: usize = 4;
+/// Ratio of a server's time per piece to the median from which the server
+/// counts as slow.
+const SLOW_RATIO: f64 = 2.0;
+/// Tokens of prefill that take as long as a typical call runs.
+const TYPICAL_RUN_TOKENS: f64 = 40_000.0;
+
+/// State of a server that could run a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerView {
-    /// Calls that it runs at once.
+    /// Number of calls that it can run at once.
     pub slots: u32,
-    /// Calls that run or wait there: as last reported, and what this process
-    /// has sent since.
+    /// Number of calls that run or wait there: the last reported number, or
+    /// the number of unfinished calls that this process has sent, whichever is
+    /// higher.
     pub busy: u32,
-    /// Tokens that those calls still need, as estimated.
+    /// Estimated tokens that those calls still need.
     pub backlog: u64,
-    /// Tokens of the call's prompt that its cache is believed to hold.
+    /// Estimated tokens of the call's prompt in its prefix cache.
     pub cached: u64,
-    /// Time of a running call for each piece of an answer, in microseconds,
-    /// as its side process measured it; zero if it is not known.
+    /// Time per piece of an answer of a running call, in microseconds, as
+    /// measured by its side process; zero if unknown.
     pub pace: u32,
 }
 
-/// What placement needs to know of a call.
+/// Properties of a call that placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallView {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// How the deployment weighs latency and wasted cache.
+    /// The deployment's weights of latency and recomputed tokens.
     pub weights: Weights,
     /// Number that is the same for all calls of a program.
     pub program: u64,
 }
 
-/// Chooses the server for a call.
+/// A strategy for choosing the server for a call.
 pub trait Placement {
-    /// Returns the index of the chosen server; `None` if there is none.
+    /// Returns the index of the chosen server; `None` if `servers` is empty.
     fn choose(
         &mut self,
         call: &CallView,
@@ -53,7 +55,7 @@
     ) -> Option<usize>;
 }
 
-/// Goes round the servers.
+/// Uses the servers in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -74,7 +76,7 @@
     }
 }
 
-/// Takes the server with the fewest calls for its slots.
+/// Chooses the server with the fewest calls per slot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
@@ -86,11 +88,11 @@
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
         let busy = |server: &ServerView| f64::from(server.busy) / f64::from(server.slots.max(1));
-        lowest(servers, 0..servers.len(), busy, rng)
+        index_of_lowest(servers, 0..servers.len(), busy, rng)
     }
 }
 
-/// Keeps a program on one server, whatever the queue there.
+/// Keeps a program on one server, regardless of its queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sticky;
 
@@ -106,56 +108,60 @@
     }
 }
 
-/// Weighs the prompt tokens that would be computed again against the work
-/// ahead in the queue; both are in tokens.
+/// Weighs the prompt tokens that would have to be recomputed against the work
+/// in the queue; both in tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Affinity {
-    /// How many queued tokens delay a call as much as one token of its own
-    /// prefill, for one slot.
+    /// Delay of a call by one queued token on a server with one slot, relative
+    /// to the delay by one token of the call's own prefill.
     pub queue_weight: f64,
-    /// Tokens of prefill that take as long as a call usually runs.
-    pub run: f64,
+    /// Tokens of prefill that take as long as a typical call runs.
+    pub typical_run_tokens: f64,
 }
 
 impl Default for Affinity {
     fn default() -> Self {
         Self {
             queue_weight: 0.3,
-            run: RUN,
+            typical_run_tokens: TYPICAL_RUN_TOKENS,
         }
     }
 }
 
 impl Affinity {
-    /// Returns the cost of a call at a server; `usual` is the pace of the
-    /// servers that there are.
-    fn cost(&self, call: &CallView, server: &ServerView, usual: f64) -> f64 {
+    /// Returns the cost of running a call on a server; `median` is the median
+    /// pace of all servers that could run it.
+    fn cost(&self, call: &CallView, server: &ServerView, median: f64) -> f64 {
         let missing = call.prompt.saturating_sub(server.cached) as f64;
         let slots = f64::from(server.slots.max(1));
         let free = server.busy < server.slots;
-        let ahead = if free {
+        let queue_delay = if free {
             f64::from(server.busy) / slots
         } else {
             self.queue_weight * server.backlog as f64 / slots
         };
-        let slower = slowness(server.pace, usual);
+        let slowdown_factor = slowdown(server.pace, median);
         let Weights { latency, waste } = call.weights;
-        latency * (slower * (ahead + missing) + (slower - 1.0) * self.run) + waste * missing
+        latency
+            * (slowdown_factor * (queue_delay + missing)
+                + (slowdown_factor - 1.0) * self.typical_run_tokens)
+            + waste * missing
     }
 }
 
-/// Returns how many times longer than usual a call takes at a server of this
-/// pace. Differences below [`SLOW`] are noise, or the calls' own.
-fn slowness(pace: u32, usual: f64) -> f64 {
-    if pace == 0 || usual <= 0.0 {
+/// Returns how many times longer than on a median server a call takes on a
+/// server with this pace. Ratios below [`SLOW_RATIO`] are noise or come from
+/// the calls themselves, and count as 1.
+fn slowdown(pace: u32, median: f64) -> f64 {
+    if pace == 0 || median <= 0.0 {
         return 1.0;
     }
-    let ratio = f64::from(pace) / usual;
-    if ratio < SLOW { 1.0 } else { ratio }
+    let ratio = f64::from(pace) / median;
+    if ratio < SLOW_RATIO { 1.0 } else { ratio }
 }
 
-/// Returns the median of the paces that are known; zero if none is.
-fn usual_pace(servers: &[ServerView]) -> f64 {
+/// Returns the median of the known paces; zero if none is known.
+fn median_pace(servers: &[ServerView]) -> f64 {
     let mut known: Vec<u32> = servers.iter().map(|server| server.pace).collect();
     known.retain(|pace| *pace > 0);
     known.sort_unstable();
@@ -170,20 +176,20 @@
         servers: &[ServerView],
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
-        let usual = usual_pace(servers);
-        let cost = |server: &ServerView| self.cost(call, server, usual);
-        if servers.len() <= LOOK_AT_ALL {
-            return lowest(servers, 0..servers.len(), cost, rng);
+        let median = median_pace(servers);
+        let cost = |server: &ServerView| self.cost(call, server, median);
+        if servers.len() <= MAX_FULL_SCAN {
+            return index_of_lowest(servers, 0..servers.len(), cost, rng);
         }
         let warm = (0..servers.len()).filter(|index| servers[*index].cached > 0);
-        let drawn: Vec<usize> = (0..SAMPLE)
+        let drawn: Vec<usize> = (0..SAMPLE_SIZE)
             .map(|_| rng.random_range(0..servers.len()))
             .collect();
-        lowest(servers, warm.chain(drawn), cost, rng)
+        index_of_lowest(servers, warm.chain(drawn), cost, rng)
     }
 }
 
-fn lowest(
+fn index_of_lowest(
     servers: &[ServerView],
     indices: impl IntoIterator<Item = usize>,
     cost: impl Fn(&ServerView) -> f64,
--- a/lib/src/progress.rs
+++ b/lib/src/progress.rs
@@ -1,4 +1,4 @@
-//! What side processes tell of calls under way.
+//! Handles the messages of side processes about running calls.
 
 use crate::code::Code;
 use crate::id::CallId;
@@ -14,15 +14,21 @@
 use crate::owner::State;
 
 impl Owner {
-    /// Returns the call that an answer of `from` is for, if it is for the
-    /// attempt under way and not a late or crossed one.
-    pub(crate) fn current(&mut self, from: &NodeId, id: CallId, attempt: u64) -> Option<&mut Call> {
+    /// Returns the call that a message of `from` belongs to, if `from` is
+    /// running this attempt. Late messages and those for other attempts belong
+    /// to none.
+    pub(crate) fn current_attempt(
+        &mut self,
+        from: &NodeId,
+        id: CallId,
+        attempt: u64,
+    ) -> Option<&mut Call> {
         let call = self.calls.get_mut(&id)?;
-        let here = match &call.state {
+        let runs_at_sender = match &call.state {
             State::Running { server, .. } | State::Settling { server, .. } => server == from,
             _ => false,
         };
-        (here && call.record.attempt == attempt).then_some(call)
+        (runs_at_sender && call.record.attempt == attempt).then_some(call)
     }
 
     pub(crate) fn order_chunk(
@@ -34,21 +40,21 @@
         offset: u64,
         bytes: &[u8],
     ) {
-        let Some(call) = self.current(from, id, attempt) else {
+        let Some(call) = self.current_attempt(from, id, attempt) else {
             return;
         };
         let have = call.bytes.len() as u64;
         if offset > have || offset + (bytes.len() as u64) <= have {
             return;
         }
-        let fresh = &bytes[(have - offset) as usize..];
-        call.bytes.extend_from_slice(fresh);
+        let new_bytes = &bytes[(have - offset) as usize..];
+        call.bytes.extend_from_slice(new_bytes);
         for watcher in &call.watchers {
             let message = Message::Chunk {
                 ticket: watcher.ticket,
                 attempt,
                 offset: have,
-                bytes: fresh.to_vec(),
+                bytes: new_bytes.to_vec(),
             };
             cx.send(&watcher.node, message);
         }
@@ -62,9 +68,10 @@
         attempt: u64,
         outcome: Outcome,
     ) {
-        // An end that belongs to no attempt under way is left alone: a later
-        // owner may still ask the server for it.
-        if self.current(from, id, attempt).is_none() {
+        // An outcome that does not belong to the current attempt is ignored
+        // without telling the server to forget it: a later owner may still ask
+        // for it.
+        if self.current_attempt(from, id, attempt).is_none() {
             return;
         }
         self.conclude(cx, id, outcome);
@@ -78,7 +85,7 @@
         attempt: u64,
         fault: OrderFault,
     ) {
-        if self.current(from, id, attempt).is_none() {
+        if self.current_attempt(from, id, attempt).is_none() {
             return;
         }
         if fault == OrderFault::Late {
@@ -95,17 +102,23 @@
             self.conclude(cx, id, Outcome::refused(code));
             return;
         }
-        self.try_elsewhere(cx, id, from.clone());
+        self.retry_on_other_server(cx, id, from.clone());
     }
 
-    /// Runs a call at another server, after it surely did not run at `not`.
-    pub(crate) fn try_elsewhere(&mut self, cx: &mut Context<'_>, id: CallId, not: NodeId) {
-        self.count(id, false);
+    /// Runs a call at another server. It must be certain that the call did not
+    /// run at `refused_by`.
+    pub(crate) fn retry_on_other_server(
+        &mut self,
+        cx: &mut Context<'_>,
+        id: CallId,
+        refused_by: NodeId,
+    ) {
+        self.count_outstanding(id, false);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.state = State::Admitting;
-        call.tried.push(not);
+        call.state = State::AwaitingAdmission;
+        call.tried.push(refused_by);
         let ended = self
             .programs
             .get(&call.program)
@@ -113,8 +126,8 @@
         if ended {
             self.refuse(cx, id, Refusal::new(Code::ProgramEnded));
         } else if call.request.is_none() {
-            // Taken over, and its caller has not come back: it counts as not
-            // run, and comes anew when the caller does.
+            // The call was taken over and its caller has not sent it again.
+            // It ends as not run, so the caller may send it again later.
             self.conclude(cx, id, Outcome::refused(Code::NoOwner));
         } else if call.tried.len() >= cx.rules.tries as usize {
             self.refuse(cx, id, Refusal::new(Code::Overloaded));
@@ -131,7 +144,7 @@
         attempt: u64,
         standing: Standing,
     ) {
-        let Some(call) = self.current(from, id, attempt) else {
+        let Some(call) = self.current_attempt(from, id, attempt) else {
             return;
         };
         match standing {
@@ -141,17 +154,18 @@
                 }
             }
             Standing::Sealed => self.retry_after_seal(cx, id),
-            Standing::OtherBoot => self.give_up(cx, id),
+            Standing::OtherBoot => self.conclude_without_result(cx, id),
         }
     }
 
-    /// Runs a call again that surely did not run.
+    /// Runs a call again that the server has never seen and will refuse from
+    /// now on, so that it cannot run twice.
     pub(crate) fn retry_after_seal(&mut self, cx: &mut Context<'_>, id: CallId) {
-        self.count(id, false);
+        self.count_outstanding(id, false);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.state = State::Admitting;
+        call.state = State::AwaitingAdmission;
         if call.request.is_none() {
             self.conclude(cx, id, Outcome::refused(Code::NoOwner));
         } else {
@@ -159,8 +173,8 @@
         }
     }
 
-    /// Ends a call whose server cannot say any more what became of it.
-    pub(crate) fn give_up(&mut self, cx: &mut Context<'_>, id: CallId) {
+    /// Ends a call whose server cannot report the outcome any more.
+    pub(crate) fn conclude_without_result(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
--- a/lib/src/submission.rs
+++ b/lib/src/submission.rs
@@ -1,5 +1,5 @@
-//! Requests to the owner of a program: opening, reading, ending, and the
-//! operator's word on a call.
+//! Requests to the owner of a program: opening, reading and ending it, and
+//! operators' decisions on calls of unknown outcome.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +20,13 @@
 use crate::outcome::Refusal;
 use crate::owner::Context;
 use crate::owner::Owner;
-use crate::owner::Parked;
+use crate::owner::ParkedRequest;
 use crate::owner::Part;
 use crate::owner::Phase;
 use crate::owner::Program;
 use crate::owner::Step;
 use crate::owner::Watcher;
-use crate::owner::is_free;
+use crate::owner::is_stateless;
 use crate::owner::reply;
 use crate::owner::update;
 use crate::program::CallStage;
@@ -47,7 +47,7 @@
             ticket,
         };
         if let Request::Call(call) = &request
-            && is_free(call)
+            && is_stateless(call)
         {
             let Request::Call(call) = request else { return };
             self.accept_call(cx, None, watcher, call, offset);
@@ -60,7 +60,7 @@
         };
         if held.phase == Phase::Adopting {
             if held.parked.len() < cx.rules.parked {
-                held.parked.push(Parked {
+                held.parked.push(ParkedRequest {
                     watcher,
                     request,
                     offset,
@@ -81,9 +81,9 @@
         request: Request,
         offset: u64,
     ) {
-        if self.is_foreign(&request) {
+        if self.is_other_tenant(&request) {
             let refusal = Refusal::with(Code::BadKey, "the program is another deployment's");
-            self.refuse_caller(cx, Some(shard), watcher, refusal);
+            self.refuse_request(cx, Some(shard), watcher, refusal);
             return;
         }
         match request {
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Returns whether the program that is asked about, or the parent of one
-    /// that is opened, is another deployment's.
-    fn is_foreign(&self, request: &Request) -> bool {
-        let about = match request {
+    /// Returns whether the requested program, or the parent of the program
+    /// that is to be opened, belongs to another operator or deployment.
+    fn is_other_tenant(&self, request: &Request) -> bool {
+        let program_id = match request {
             Request::Open(open) => open.parent.unwrap_or(open.program),
             other => other.program(),
         };
         let (operator, deployment) = request.tenant();
-        self.programs.get(&about).is_some_and(|program| {
+        self.programs.get(&program_id).is_some_and(|program| {
             let head = &program.copy.head;
             head.operator != *operator || deployment.is_some_and(|name| head.deployment != *name)
         })
@@ -117,7 +117,7 @@
         open: &OpenRequest,
     ) {
         if self.programs.contains_key(&open.program) {
-            // Sent again: the program is there, the answer was lost.
+            // The request was sent before and its reply was lost.
             let seq = self.shards.get(&shard).map_or(0, |held| held.seq);
             self.after(
                 cx,
@@ -136,7 +136,7 @@
             return;
         }
         if let Err(refusal) = self.check_open(cx, open) {
-            self.refuse_caller(cx, Some(shard), watcher, refusal);
+            self.refuse_request(cx, Some(shard), watcher, refusal);
             return;
         }
         let head = ProgramHead {
@@ -191,11 +191,11 @@
         let id = copy.program;
         let program = Program {
             copy,
-            ahead: BTreeMap::new(),
+            queued: BTreeMap::new(),
             running: None,
-            touched: cx.now,
+            last_active: cx.now,
         };
-        self.idle.insert((cx.now, id));
+        self.program_timers.insert((cx.now, id));
         self.programs.insert(id, program);
     }
 
@@ -218,24 +218,29 @@
         id: ProgramId,
     ) {
         if !self.programs.contains_key(&id) {
-            self.refuse_caller(cx, Some(shard), watcher, Refusal::new(Code::ProgramUnknown));
+            self.refuse_request(cx, Some(shard), watcher, Refusal::new(Code::ProgramUnknown));
             return;
         }
-        let seq = self.end_tree(cx, shard, id);
+        let seq = self.end_subtree(cx, shard, id);
         self.after(cx, shard, seq, Step::Answer(watcher, id, Part::Head));
     }
 
-    /// Ends a program and its sub-agents; returns the number of the last
-    /// change.
-    pub(crate) fn end_tree(&mut self, cx: &mut Context<'_>, shard: ShardId, id: ProgramId) -> u64 {
+    /// Ends a program and its sub-agents. Returns the sequence number of the
+    /// last change.
+    pub(crate) fn end_subtree(
+        &mut self,
+        cx: &mut Context<'_>,
+        shard: ShardId,
+        id: ProgramId,
+    ) -> u64 {
         let mut seq = self.shards.get(&shard).map_or(0, |held| held.seq);
-        for member in self.tree(id) {
+        for member in self.subtree(id) {
             let Some(program) = self.programs.get_mut(&member) else {
                 continue;
             };
-            program.touched = cx.now;
+            program.last_active = cx.now;
             let warm = program.copy.head.warm.take();
-            let waiting: Vec<CallId> = program.ahead.values().copied().collect();
+            let waiting: Vec<CallId> = program.queued.values().copied().collect();
             let running = program.running;
             program.copy.head.ended = true;
             for call in waiting {
@@ -252,10 +257,10 @@
         seq
     }
 
-    /// Returns a program and all its sub-agents. They share a root, so that
-    /// the search is over one tree only.
-    pub(crate) fn tree(&self, id: ProgramId) -> Vec<ProgramId> {
-        let mut found = vec![id];
+    /// Returns a program and all its sub-agents. They share a root, so only
+    /// programs with this root are searched.
+    pub(crate) fn subtree(&self, id: ProgramId) -> Vec<ProgramId> {
+        let mut members = vec![id];
         let first = ProgramId {
             root: id.root,
             leaf: 0,
@@ -265,19 +270,19 @@
             leaf: u64::MAX,
         };
         let mut next = 0;
-        while next < found.len() {
-            let parent = found[next];
+        while next < members.len() {
+            let parent = members[next];
             for (child, program) in self.programs.range(first..=last) {
                 if program.copy.head.parent == Some(parent) {
-                    found.push(*child);
+                    members.push(*child);
                 }
             }
             next += 1;
         }
-        found
+        members
     }
 
-    /// Settles a call of unknown outcome by an operator's word.
+    /// Applies an operator's decision on a call of unknown outcome.
     pub(crate) fn judge(
         &mut self,
         cx: &mut Context<'_>,
@@ -286,7 +291,7 @@
         judgement: &Judgement,
     ) {
         let Some(program) = self.programs.get_mut(&judgement.program) else {
-            self.refuse_caller(cx, Some(shard), watcher, Refusal::new(Code::ProgramUnknown));
+            self.refuse_request(cx, Some(shard), watcher, Refusal::new(Code::ProgramUnknown));
             return;
         };
         let unknown = CallStage::Done(Outcome::refused(Code::OutcomeUnknown));
@@ -301,8 +306,8 @@
             return;
         };
         let mut record = record.clone();
-        // A call that did not run leaves no record, so that its caller may
-        // send it again.
+        // `put` drops the record of a call that did not run, so that the
+        // caller may send the call again.
         let code = if judgement.ran {
             Code::AnswerExpired
         } else {
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking a shard over from a keeper's copy, and giving one away.
+//! Takeover of a shard from the keeper's copy, and release of a shard.
 
 use crate::effect::Note;
 use crate::id::CallId;
@@ -11,7 +11,7 @@
 use crate::owner::Context;
 use crate::owner::Held;
 use crate::owner::Owner;
-use crate::owner::Parked;
+use crate::owner::ParkedRequest;
 use crate::owner::Phase;
 use crate::owner::State;
 use crate::owner::Step;
@@ -21,27 +21,32 @@
 use crate::shard::Assignment;
 
 impl Owner {
-    /// Starts to own `shard` as `assignment` says. `fresh` says that there is
-    /// nothing to take over.
+    /// Starts to own `shard` according to `assignment`. With `is_new`, there
+    /// is no earlier state to take over.
     pub(crate) fn acquire(
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
         assignment: &Assignment,
-        fresh: bool,
+        is_new: bool,
     ) {
         self.release(cx, shard);
-        let phase = if fresh { Phase::Whole } else { Phase::Adopting };
+        let phase = if is_new {
+            Phase::Whole
+        } else {
+            Phase::Adopting
+        };
         let held = Held::new(cx.now, assignment, phase);
         self.shards.insert(shard, held);
-        if fresh {
+        if is_new {
             self.fill(cx, shard);
         } else {
-            self.ask_copy(cx, shard);
+            self.request_copy(cx, shard);
         }
     }
 
-    /// Goes on owning `shard` under a new epoch, with another keeper.
+    /// Continues to own `shard` under the next epoch, possibly with another
+    /// keeper.
     pub(crate) fn renew(&mut self, cx: &mut Context<'_>, shard: ShardId, assignment: &Assignment) {
         let Some(held) = self.shards.get_mut(&shard) else {
             return;
@@ -49,20 +54,20 @@
         held.epoch = assignment.epoch;
         held.keeper.clone_from(&assignment.keeper);
         held.chosen = assignment.chosen;
-        held.lossy = assignment.lost.0 > 0;
+        held.copies_lost = assignment.lost.0 > 0;
         if held.phase == Phase::Adopting {
-            // Both copies are lost: the shard goes on without its programs.
+            // Both copies are lost: the shard starts again without programs.
             held.phase = Phase::Whole;
             held.incoming.clear();
             let parked = std::mem::take(&mut held.parked);
             self.fill(cx, shard);
-            self.unpark(cx, shard, parked);
+            self.resume_parked(cx, shard, parked);
             return;
         }
         self.fill(cx, shard);
     }
 
-    pub(crate) fn ask_copy(&mut self, cx: &mut Context<'_>, shard: ShardId) {
+    pub(crate) fn request_copy(&mut self, cx: &mut Context<'_>, shard: ShardId) {
         let Some(held) = self.shards.get_mut(&shard) else {
             return;
         };
@@ -117,7 +122,7 @@
         let parked = std::mem::take(&mut held.parked);
         let count = incoming.len();
         for copy in incoming.into_values() {
-            self.install(cx, shard, copy);
+            self.install_program(cx, shard, copy);
         }
         cx.note(
             Note::new("shard_adopted")
@@ -125,17 +130,28 @@
                 .with("epoch", epoch)
                 .with("programs", count),
         );
-        self.unpark(cx, shard, parked);
+        self.resume_parked(cx, shard, parked);
     }
 
-    pub(crate) fn unpark(&mut self, cx: &mut Context<'_>, shard: ShardId, parked: Vec<Parked>) {
-        for item in parked {
-            self.accept(cx, shard, item.watcher, item.request, item.offset);
+    pub(crate) fn resume_parked(
+        &mut self,
+        cx: &mut Context<'_>,
+        shard: ShardId,
+        parked: Vec<ParkedRequest>,
+    ) {
+        for request in parked {
+            self.accept(cx, shard, request.watcher, request.request, request.offset);
         }
     }
 
-    /// Takes over a program; a call that may be running is asked about.
-    pub(crate) fn install(&mut self, cx: &mut Context<'_>, shard: ShardId, copy: ProgramCopy) {
+    /// Takes over a program. If one of its calls may be running, asks the
+    /// server for the state of that call.
+    pub(crate) fn install_program(
+        &mut self,
+        cx: &mut Context<'_>,
+        shard: ShardId,
+        copy: ProgramCopy,
+    ) {
         let open = copy.open_call().cloned();
         let id = copy.program;
         let (operator, deployment) = (copy.head.operator.clone(), copy.head.deployment.clone());
@@ -169,14 +185,14 @@
             record,
         };
         let call_id = call.record.call;
-        self.timers
+        self.call_timers
             .insert((cx.now + cx.rules.settle_wait(), call_id));
         self.calls.insert(call_id, call);
-        self.count(call_id, true);
-        self.ask(cx, call_id);
+        self.count_outstanding(call_id, true);
+        self.query_attempt(cx, call_id);
     }
 
-    pub(crate) fn ask(&mut self, cx: &mut Context<'_>, id: CallId) {
+    pub(crate) fn query_attempt(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -194,35 +210,36 @@
         cx.send(&server, message);
     }
 
-    /// Stops owning `shard`; its callers' entries go to the new owner.
+    /// Stops owning `shard` and redirects the waiting submissions to the new
+    /// owner.
     pub(crate) fn release(&mut self, cx: &mut Context<'_>, shard: ShardId) {
         let Some(held) = self.shards.remove(&shard) else {
             return;
         };
-        for item in held.parked {
-            reply(cx, &item.watcher, Reply::Moved);
+        for request in held.parked {
+            reply(cx, &request.watcher, Reply::Moved);
         }
         for (_, step) in held.steps {
             if let Step::Answer(watcher, _, _) | Step::Refuse(watcher, _) = step {
                 reply(cx, &watcher, Reply::Moved);
             }
         }
-        let gone: Vec<CallId> = self
+        let calls: Vec<CallId> = self
             .calls
             .iter()
             .filter(|(_, call)| call.shard == Some(shard))
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
-            self.count(id, false);
+        for id in calls {
+            self.count_outstanding(id, false);
             let Some(call) = self.calls.remove(&id) else {
                 continue;
             };
             let key = (call.operator.clone(), call.deployment.clone());
             if call.admitted {
-                self.admission.leave(&key);
+                self.admission.finish(&key);
             } else {
-                self.admission.withdraw(&key, id);
+                self.admission.remove_queued(&key, id);
             }
             for watcher in &call.watchers {
                 reply(cx, watcher, Reply::Moved);
--- a/lib/src/turn.rs
+++ b/lib/src/turn.rs
@@ -1,5 +1,5 @@
-//! A call's way from its arrival to a server: its record, its number, its
-//! turn, budgets, limits and place.
+//! The path of a call from its arrival to a server: deduplication, order
+//! within the program, history and budget checks, admission and placement.
 
 use rand::Rng as _;
 
@@ -19,17 +19,17 @@
 use crate::outcome::Refusal;
 use crate::owner::BYTES_PER_TOKEN;
 use crate::owner::Call;
+use crate::owner::CallLookup;
 use crate::owner::Context;
-use crate::owner::Entrance;
 use crate::owner::Owner;
 use crate::owner::State;
 use crate::owner::Step;
 use crate::owner::Watcher;
 use crate::owner::candidates;
-use crate::owner::need_tokens;
+use crate::owner::estimate_tokens;
+use crate::owner::limits_per_entry;
 use crate::owner::reply;
 use crate::owner::send_bytes;
-use crate::owner::share;
 use crate::owner::timeout;
 use crate::owner::update;
 use crate::placement::CallView;
@@ -66,19 +66,21 @@
             call.watchers.push(watcher);
             return;
         }
-        match self.first_number(cx, shard, &request) {
-            Ok(Entrance::Fresh(number)) => self.enter(cx, shard, watcher, request, number),
-            Ok(Entrance::Known(record)) => {
-                self.answer_again(cx, &watcher, request.program, &record, offset)
+        match self.look_up_call(cx, shard, &request) {
+            Ok(CallLookup::New(number)) => self.enqueue_call(cx, shard, watcher, request, number),
+            Ok(CallLookup::Recorded(record)) => {
+                self.replay_answer(cx, &watcher, request.program, &record, offset)
             }
-            Err(refusal) => self.refuse_caller(cx, shard, watcher, refusal),
+            Err(refusal) => self.refuse_request(cx, shard, watcher, refusal),
         }
     }
 
-    /// Refuses a request that is no call under way. What rests on something
-    /// not being known here is said once the keeper confirms that no later
-    /// owner knows more.
-    pub(crate) fn refuse_caller(
+    /// Refuses a request that does not belong to an open call. The refusal may
+    /// rest on the absence of a record. It is therefore sent only after the
+    /// keeper has confirmed that this process still owns the shard: a later
+    /// owner may have the record. Refusals that state that the work ran need
+    /// no confirmation.
+    pub(crate) fn refuse_request(
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
@@ -94,15 +96,16 @@
         }
     }
 
-    /// Finds a call among those that have ended, or gives it its number.
-    pub(crate) fn first_number(
+    /// Looks for the record of an earlier call with the same id. If there is
+    /// none, determines the number of the call in its program.
+    pub(crate) fn look_up_call(
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
         request: &CallRequest,
-    ) -> Result<Entrance, Refusal> {
+    ) -> Result<CallLookup, Refusal> {
         let Some(shard) = shard else {
-            return Ok(Entrance::Fresh(1));
+            return Ok(CallLookup::New(1));
         };
         if !self.programs.contains_key(&request.program) {
             self.open_single(cx, shard, request)?;
@@ -110,13 +113,13 @@
         let Some(program) = self.programs.get_mut(&request.program) else {
             return Err(Refusal::new(Code::ProgramUnknown));
         };
-        program.touched = cx.now;
+        program.last_active = cx.now;
         let copy = &program.copy;
         if let Some(record) = copy.record(request.call) {
             if record.digest != request.digest {
                 return Err(Refusal::new(Code::IdReused));
             }
-            return Ok(Entrance::Known(Box::new(record.clone())));
+            return Ok(CallLookup::Recorded(Box::new(record.clone())));
         }
         if let Some(past) = copy.past(request.call) {
             let code = if past.answered {
@@ -133,10 +136,10 @@
         let number = match request.number {
             Some(number) => number,
             None => (next..)
-                .find(|number| !program.ahead.contains_key(number))
+                .find(|number| !program.queued.contains_key(number))
                 .unwrap_or(next),
         };
-        if number < next || program.ahead.contains_key(&number) {
+        if number < next || program.queued.contains_key(&number) {
             return Err(Refusal::with(
                 Code::OutOfTurn,
                 format!("number {number} is taken"),
@@ -146,7 +149,7 @@
             let detail = format!("number {number} is too far from the next one, {next}");
             return Err(Refusal::with(Code::OutOfTurn, detail));
         }
-        Ok(Entrance::Fresh(number))
+        Ok(CallLookup::New(number))
     }
 
     pub(crate) fn open_single(
@@ -158,10 +161,11 @@
         if !request.program.is_single() {
             return Err(Refusal::new(Code::ProgramUnknown));
         }
-        let lossy = self.shards.get(&shard).is_some_and(|held| held.lossy);
-        if lossy && !request.idempotent && request.keyed {
-            // An earlier sending may have run and both copies of it are
-            // lost; only a program, whose absence tells, is safe here.
+        let copies_lost = self.shards.get(&shard).is_some_and(|held| held.copies_lost);
+        if copies_lost && !request.idempotent && request.keyed {
+            // The call may have been sent before and have run, and both copies
+            // of its record may be lost. A call within a program is safe: a
+            // lost program is refused as unknown.
             let detail = "records of earlier calls were lost; open a program for this call";
             return Err(Refusal::with(Code::OutcomeUnknown, detail));
         }
@@ -191,7 +195,7 @@
         Ok(())
     }
 
-    pub(crate) fn enter(
+    pub(crate) fn enqueue_call(
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
@@ -219,7 +223,7 @@
             shard,
             program: request.program,
             record,
-            state: State::Ahead,
+            state: State::AwaitingTurn,
             watchers: vec![watcher],
             bytes: Vec::new(),
             deadline: cx.now + patience,
@@ -232,23 +236,24 @@
         };
         let program = call.program;
         self.calls.insert(id, call);
-        let waits = if shard.is_some() {
+        let wait = if shard.is_some() {
             patience.min(cx.rules.turn_wait())
         } else {
             patience
         };
-        self.timers.insert((cx.now + waits, id));
+        self.call_timers.insert((cx.now + wait, id));
         if shard.is_none() {
             self.admit(cx, id);
             return;
         }
         if let Some(program) = self.programs.get_mut(&program) {
-            program.ahead.insert(number, id);
+            program.queued.insert(number, id);
         }
         self.next_turn(cx, program);
     }
 
-    /// Gives the turn to the call with the next number, if it is there.
+    /// Starts the call with the next number, if it has arrived and no call of
+    /// the program runs.
     pub(crate) fn next_turn(&mut self, cx: &mut Context<'_>, id: ProgramId) {
         loop {
             let Some(program) = self.programs.get_mut(&id) else {
@@ -257,7 +262,7 @@
             if program.running.is_some() {
                 return;
             }
-            let Some(call) = program.ahead.remove(&program.copy.head.next) else {
+            let Some(call) = program.queued.remove(&program.copy.head.next) else {
                 return;
             };
             program.running = Some(call);
@@ -276,8 +281,8 @@
         }
     }
 
-    /// Checks the history that a call continues and the budgets that it
-    /// draws on; returns what it needs.
+    /// Checks the history that a call continues and the budgets of its program
+    /// and the programs above. Returns the amount to reserve.
     pub(crate) fn check_turn(&self, cx: &Context<'_>, id: CallId) -> Result<Amount, Refusal> {
         let missing = || Refusal::new(Code::ProgramUnknown);
         let call = self.calls.get(&id).ok_or_else(missing)?;
@@ -300,7 +305,7 @@
         {
             return Err(Refusal::new(Code::BadKey));
         }
-        let need = Amount::one_call(need_tokens(request, history.size()));
+        let need = Amount::one_call(estimate_tokens(request, history.size()));
         for ancestor in self.line(call.program) {
             let Some(program) = self.programs.get(&ancestor) else {
                 continue;
@@ -313,7 +318,7 @@
         Ok(need)
     }
 
-    /// Returns a program and those above it.
+    /// Returns a program and its ancestors, from the program upwards.
     pub(crate) fn line(&self, id: ProgramId) -> Vec<ProgramId> {
         let mut line = vec![id];
         let mut at = id;
@@ -340,7 +345,8 @@
         }
     }
 
-    /// Lets a call run if the deployment's limits allow, or queues it.
+    /// Starts a call if the deployment's limits allow; otherwise queues or
+    /// refuses it.
     pub(crate) fn admit(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -350,26 +356,27 @@
             return;
         };
         let urgency = call.request.as_ref().map_or(Urgency::Normal, |r| r.urgency);
-        let limits = share(&rules.limits, cx.members.entries() + 1);
+        let limits = limits_per_entry(&rules.limits, cx.members.entries() + 1);
         let key = (call.operator.clone(), call.deployment.clone());
-        if self.admission.enter(&key, &limits) {
+        if self.admission.try_start(&key, &limits) {
             call.admitted = true;
             self.place(cx, id);
-        } else if self.admission.wait(&key, &limits, urgency, cx.now, id) {
-            call.state = State::Admitting;
+        } else if self.admission.try_queue(&key, &limits, urgency, cx.now, id) {
+            call.state = State::AwaitingAdmission;
         } else {
             self.refuse(cx, id, Refusal::new(Code::Overloaded));
         }
     }
 
-    /// Chooses a server, and lets the keeper know before anything runs.
+    /// Chooses a server for a call and records the choice with the keeper
+    /// before the call is sent.
     pub(crate) fn place(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some((server, boot)) = self.choose(cx, id) else {
-            let full = self
+            let was_refused = self
                 .calls
                 .get(&id)
                 .is_some_and(|call| !call.tried.is_empty());
-            let code = if full {
+            let code = if was_refused {
                 Code::Overloaded
             } else {
                 Code::NoServer
@@ -387,7 +394,7 @@
             server: server.clone(),
             boot,
         };
-        call.state = State::Reserving { server, boot };
+        call.state = State::PersistingIntent { server, boot };
         let Some(shard) = call.shard else {
             self.dispatch(cx, id);
             return;
@@ -424,7 +431,7 @@
             let Some(boot) = cx.members.boot(name) else {
                 continue;
             };
-            let sent = self.sent.get(name).copied().unwrap_or_default();
+            let sent = self.outstanding.get(name).copied().unwrap_or_default();
             let member = cx.members.get(name);
             let load = member.map(|member| member.load()).unwrap_or_default();
             nodes.push((name.clone(), boot));
@@ -445,8 +452,8 @@
         nodes.get(index).cloned()
     }
 
-    /// Gives a call to the server that was chosen, now that its intent is
-    /// safe.
+    /// Sends a call to the chosen server, after the keeper has acknowledged
+    /// the choice.
     pub(crate) fn dispatch(&mut self, cx: &mut Context<'_>, id: CallId) {
         let shard = self
             .calls
@@ -455,15 +462,15 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let State::Reserving { server, boot } = call.state.clone() else {
+        let State::PersistingIntent { server, boot } = call.state.clone() else {
             return;
         };
         let Some(request) = &call.request else {
             return;
         };
         let program = self.programs.get(&call.program);
-        let old = program.filter(|_| request.supply != Supply::Full);
-        let turns = old
+        let continued = program.filter(|_| request.supply != Supply::Full);
+        let turns = continued
             .into_iter()
             .flat_map(|program| program.copy.history.turns());
         let order = Order {
@@ -487,13 +494,13 @@
             server: server.clone(),
             boot,
         };
-        let slack = order.patience.max(order.timeout) + cx.rules.settle_wait();
-        self.timers.insert((cx.now + slack, id));
-        self.count(id, true);
+        let wait = order.patience.max(order.timeout) + cx.rules.settle_wait();
+        self.call_timers.insert((cx.now + wait, id));
+        self.count_outstanding(id, true);
         cx.send(&server, Message::Order(Box::new(order)));
     }
 
-    pub(crate) fn count(&mut self, id: CallId, more: bool) {
+    pub(crate) fn count_outstanding(&mut self, id: CallId, started: bool) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -501,9 +508,9 @@
             State::Running { server, .. } | State::Settling { server, .. } => server,
             _ => return,
         };
-        let sent = self.sent.entry(server.clone()).or_default();
+        let sent = self.outstanding.entry(server.clone()).or_default();
         let tokens = call.record.need.tokens;
-        if more {
+        if started {
             sent.calls += 1;
             sent.tokens += tokens;
         } else {
