--- a/lib/src/effect.rs
+++ b/lib/src/effect.rs
@@ -1,4 +1,4 @@
-//! Effects: the I/O that the state machines request.
+//! Effects: the actions that the reducers request from their environment.
 
 use crate::id::CallId;
 use crate::id::NodeId;
@@ -39,7 +39,7 @@
     }
 }
 
-/// An action that a state machine requests.
+/// An action that a reducer requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Sends a message. It is dropped if there is no link to the receiver.
--- a/lib/src/ending.rs
+++ b/lib/src/ending.rs
@@ -73,11 +73,17 @@
             return;
         }
         if let Outcome::Answer(answer) = &outcome {
-            let have = call.bytes.len();
-            let rest = answer.body.get(have..).unwrap_or_default().to_vec();
+            let received_len = call.bytes.len();
+            let rest = answer.body.get(received_len..).unwrap_or_default().to_vec();
             call.bytes.extend_from_slice(&rest);
             for watcher in &call.watchers {
-                send_bytes(cx, watcher, call.record.attempt, &call.bytes, have as u64);
+                send_bytes(
+                    cx,
+                    watcher,
+                    call.record.attempt,
+                    &call.bytes,
+                    received_len as u64,
+                );
             }
         }
         let server = match &call.state {
@@ -89,7 +95,7 @@
         call.state = State::Recording {
             outcome: outcome.clone(),
         };
-        self.leave_admission(cx, id);
+        self.release_admission(cx, id);
         let Some(shard) = self.calls.get(&id).and_then(|call| call.shard) else {
             self.forget_done(cx, id);
             self.finish(cx, id);
@@ -169,7 +175,7 @@
         }
     }
 
-    pub(crate) fn leave_admission(&mut self, cx: &mut Context<'_>, id: CallId) {
+    pub(crate) fn release_admission(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -224,7 +230,7 @@
         if program.running == Some(id) {
             program.running = None;
         }
-        self.next_turn(cx, call.program);
+        self.start_next_call(cx, call.program);
     }
 
     pub(crate) fn replay_answer(
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -1,5 +1,4 @@
-//! The state machine of an entry process: callers, shards, members and
-//! settings.
+//! The reducer of an entry process: callers, shards, members and settings.
 
 use std::collections::BTreeMap;
 
@@ -176,7 +175,7 @@
         &self.members
     }
 
-    /// Returns the settings in force.
+    /// Returns the settings documents in force.
     pub fn documents(&self) -> &Documents {
         &self.documents
     }
--- a/lib/src/front.rs
+++ b/lib/src/front.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The waiting callers of one entry.
+/// The waiting callers of an entry.
 #[derive(Debug)]
 pub struct Front {
     node: NodeId,
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -59,8 +59,8 @@
 /// the keeper gets a full copy instead.
 pub(crate) const MAX_UNKEPT: usize = 10_000;
 
-/// Inputs of the decisions of [`Owner`] and [`crate::front::Front`] besides
-/// their own state, and the list of effects.
+/// What [`Owner`] and [`crate::front::Front`] read besides their own state,
+/// and the list that their effects are appended to.
 pub(crate) struct Context<'a> {
     pub now: Time,
     pub centre: &'a DataCentre,
--- a/lib/src/progress.rs
+++ b/lib/src/progress.rs
@@ -43,17 +43,17 @@
         let Some(call) = self.current_attempt(from, id, attempt) else {
             return;
         };
-        let have = call.bytes.len() as u64;
-        if offset > have || offset + (bytes.len() as u64) <= have {
+        let received_len = call.bytes.len() as u64;
+        if offset > received_len || offset + (bytes.len() as u64) <= received_len {
             return;
         }
-        let new_bytes = &bytes[(have - offset) as usize..];
+        let new_bytes = &bytes[(received_len - offset) as usize..];
         call.bytes.extend_from_slice(new_bytes);
         for watcher in &call.watchers {
             let message = Message::Chunk {
                 ticket: watcher.ticket,
                 attempt,
-                offset: have,
+                offset: received_len,
                 bytes: new_bytes.to_vec(),
             };
             cx.send(&watcher.node, message);
--- a/lib/src/turn.rs
+++ b/lib/src/turn.rs
@@ -249,12 +249,12 @@
         if let Some(program) = self.programs.get_mut(&program) {
             program.queued.insert(number, id);
         }
-        self.next_turn(cx, program);
+        self.start_next_call(cx, program);
     }
 
     /// Starts the call with the next number, if it has arrived and no call of
     /// the program runs.
-    pub(crate) fn next_turn(&mut self, cx: &mut Context<'_>, id: ProgramId) {
+    pub(crate) fn start_next_call(&mut self, cx: &mut Context<'_>, id: ProgramId) {
         loop {
             let Some(program) = self.programs.get_mut(&id) else {
                 return;
--- a/lib/tests/alone.rs
+++ b/lib/tests/alone.rs
@@ -1,4 +1,4 @@
-//! What an owner says while no keeper can be had.
+//! Replies of an owner while no keeper is available.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     .to_string()
 }
 
-/// Returns an entry that owns every shard and has no keeper for any.
+/// Returns an entry that owns all shards, none of which has a keeper.
 fn lone_entry(rules: &Rules) -> Entry {
     let own = NodeId::new("entry-1");
     let assignment = Assignment {
@@ -79,9 +79,9 @@
     })
 }
 
-/// Lets an entry tick until `end`, and returns the last word to the caller
-/// with its time.
-fn last_word(entry: &mut Entry, request: Request, end: u64) -> Option<(u64, Reply)> {
+/// Sends a request to an entry and ticks it until `end`. Returns the reply to
+/// the caller with its time in milliseconds.
+fn final_reply(entry: &mut Entry, request: Request, end: u64) -> Option<(u64, Reply)> {
     let mut out = Vec::new();
     let ask = Event::Caller {
         caller: CALLER,
@@ -105,9 +105,9 @@
     let rules = Rules::default();
     let mut entry = lone_entry(&rules);
 
-    let word = last_word(&mut entry, open(), 60_000);
+    let reply = final_reply(&mut entry, open(), 60_000);
 
-    let (when, reply) = word.expect("a last word");
+    let (when, reply) = reply.expect("a reply");
     let Reply::Refused(refusal) = reply else {
         panic!("{reply:?}");
     };
@@ -125,9 +125,9 @@
         deployment: Deployment::new("dep"),
     });
 
-    let word = last_word(&mut entry, read, 60_000);
+    let reply = final_reply(&mut entry, read, 60_000);
 
-    let (when, reply) = word.expect("a last word");
+    let (when, reply) = reply.expect("a reply");
     let Reply::Refused(refusal) = reply else {
         panic!("{reply:?}");
     };
--- a/lib/tests/promises.rs
+++ b/lib/tests/promises.rs
@@ -1,4 +1,5 @@
-//! The promises, checked over random interleavings of everything that fails.
+//! Property tests of the system's guarantees under random interleavings of
+//! messages and failures.
 
 mod support;
 
@@ -10,15 +11,16 @@
 use support::action::Action;
 use support::action::action;
 use support::world::World;
-use support::world::next_call;
+use support::world::call_pick;
 
-/// Steps of one run.
+/// Steps per run; `LIMPETFERRY_STEPS` overrides it.
 const STEPS: usize = 400;
-/// Runs in CI; a longer run sets `LIMPETFERRY_RUNS`.
+/// Runs in CI; `LIMPETFERRY_RUNS` overrides it for longer tests.
 const RUNS: u32 = 150;
 
-/// Tries to make a failed run shorter; some take minutes.
-const SHRINK: u64 = 300;
+/// Limit of the attempts to shrink a failing run, as shrinking can take
+/// minutes; `LIMPETFERRY_SHRINK` overrides it.
+const MAX_SHRINK_ITERS: u64 = 300;
 
 fn number(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
@@ -44,7 +46,7 @@
     let config = Config {
         cases: runs,
         failure_persistence: None,
-        max_shrink_iters: number("LIMPETFERRY_SHRINK", SHRINK) as u32,
+        max_shrink_iters: number("LIMPETFERRY_SHRINK", MAX_SHRINK_ITERS) as u32,
         ..Config::default()
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
@@ -78,7 +80,7 @@
 
 #[test]
 fn an_undisturbed_world_answers_every_call() {
-    let world = run(&[]).expect("nothing fails");
+    let world = run(&[]).expect("no guarantee is violated");
 
     assert!(
         world
@@ -95,27 +97,28 @@
 #[test]
 fn an_hour_without_the_key_value_service_stops_no_whole_pair() {
     let mut world = World::new();
-    // Shards are moved for balance until then.
-    world.calm(300);
+    // Lets the rebalancing of shards finish.
+    world.run_without_faults(300);
     let before = world.callers.answers;
-    let asked = world.store.asked;
+    let request_count = world.store.request_count;
     world.store.down = true;
     for second in 0..3_600_u16 {
-        for action in [Action::Wait(699), Action::Call(next_call(second))] {
-            world.step(action).expect("every promise holds");
+        for action in [Action::Wait(699), Action::Call(call_pick(second))] {
+            world.step(action).expect("no guarantee is violated");
         }
-        world.calm(3);
+        world.run_without_faults(3);
     }
     let during = world.callers.answers - before;
-    let asked_meanwhile = world.store.asked - asked;
+    let requests_meanwhile = world.store.request_count - request_count;
 
-    world.heal().expect("everything ends after the outage");
+    world.heal().expect("all calls end after the outage");
 
     assert!(during > 20, "{during} answers in the outage");
-    assert_eq!(asked_meanwhile, 0, "nothing is written in steady state");
+    assert_eq!(requests_meanwhile, 0, "nothing is written in steady state");
 }
 
-/// Folds the report of a failed run, which has a line for each number.
+/// Joins the lines of proptest's minimal input, which has each number on a
+/// line of its own.
 fn one_line(text: &str) -> String {
     let words: Vec<&str> = text.split_whitespace().collect();
     words.join(" ")
--- a/lib/tests/support/action.rs
+++ b/lib/tests/support/action.rs
@@ -1,51 +1,52 @@
-//! What can happen in the world, as proptest draws it.
+//! The steps of a simulation and their proptest strategy.
 
 use proptest::prelude::*;
 
-/// One step of a run. The numbers pick among what there is at the time.
+/// One step of a simulation. The numbers select among the processes, links or
+/// messages that exist at the time.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// A message, a store's answer or a backend's end arrives.
+    /// Delivers a message, a reply of the store or a backend's result.
     Deliver(u16),
-    /// Everything that is under way arrives.
+    /// Delivers all messages in transit.
     Settle,
-    /// A process notices that time passed.
+    /// Ticks one process.
     Tick(u16),
-    /// Time passes, and every process notices.
+    /// Advances the time and ticks every process.
     Wait(u16),
-    /// A caller acts: sends its next call, or sends one again.
+    /// A caller sends its next call, or an open one again.
     Call(u16),
-    /// A caller gives its connection up and sends the call elsewhere.
-    Impatient(u16),
-    /// A process dies; its successor starts later.
+    /// A caller closes its connection; it may send the call elsewhere later.
+    AbandonRequest(u16),
+    /// A process crashes.
     Crash(u16),
-    /// A dead process starts again.
+    /// A crashed process starts again.
     Restart(u16),
-    /// A process stops noticing anything, for a while.
+    /// A process stops handling events.
     Pause(u16),
-    /// A paused process goes on.
+    /// A paused process resumes.
     Resume(u16),
-    /// A link breaks, with what was under way on it.
+    /// A link breaks; messages in transit on it are lost.
     Cut(u16),
-    /// Two processes cannot reach each other any more.
-    Part(u16),
-    /// All processes can reach each other again.
-    Mend,
+    /// A link breaks and cannot be established again.
+    Partition(u16),
+    /// All links can be established again.
+    HealPartitions,
     /// The key-value service stops or starts answering.
     Outage(bool),
-    /// The answer to a write that took effect is lost.
+    /// The reply to the next successful write is lost.
     LoseReply(u16),
-    /// A side process leaves.
+    /// A side process starts to leave.
     Leave(u16),
-    /// A notice of the store comes a second time.
-    Double(u16),
-    /// The backend server breaks a call off.
-    Break(u16),
-    /// An operator's patch is applied in the key-value service.
+    /// A notification of the store is delivered twice.
+    DuplicateNotification(u16),
+    /// A call fails at its backend server.
+    FailRun(u16),
+    /// An operator's patch is stored in the key-value service.
     Patch,
 }
 
-/// Draws one step; ordinary ones are the most.
+/// Generates one step; failures are rarer than ordinary steps.
 pub fn action() -> impl Strategy<Value = Action> {
     let pick = any::<u16>;
     prop_oneof![
@@ -54,20 +55,20 @@
         12 => pick().prop_map(Action::Tick),
         14 => pick().prop_map(Action::Wait),
         24 => pick().prop_map(Action::Call),
-        3 => pick().prop_map(Action::Impatient),
+        3 => pick().prop_map(Action::AbandonRequest),
         2 => pick().prop_map(Action::Crash),
         4 => pick().prop_map(Action::Restart),
         2 => pick().prop_map(Action::Pause),
         3 => pick().prop_map(Action::Resume),
         3 => pick().prop_map(Action::Cut),
-        2 => pick().prop_map(Action::Part),
-        3 => Just(Action::Mend),
+        2 => pick().prop_map(Action::Partition),
+        3 => Just(Action::HealPartitions),
         1 => Just(Action::Outage(true)),
         2 => Just(Action::Outage(false)),
         2 => pick().prop_map(Action::LoseReply),
         1 => pick().prop_map(Action::Leave),
-        2 => pick().prop_map(Action::Double),
-        2 => pick().prop_map(Action::Break),
+        2 => pick().prop_map(Action::DuplicateNotification),
+        2 => pick().prop_map(Action::FailRun),
         2 => Just(Action::Patch),
     ]
 }
--- a/lib/tests/support/backend.rs
+++ b/lib/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! The backend servers of the world, and the log of what they ran.
+//! Simulated backend servers, with a log of the calls that they ran.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +12,24 @@
 use limpetferry_lib::side::BackendEnd;
 use limpetferry_lib::side::Event;
 
-/// Tokens of each model answer.
-pub const TOKENS: u64 = 10;
+/// Tokens in each answer of a model.
+pub const TOKENS_PER_ANSWER: u64 = 10;
 
-/// One run of a call at a backend server.
+/// One execution of a call on a backend server.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The call.
     pub call: CallId,
     /// Its program.
     pub program: ProgramId,
-    /// Texts of the messages that the engine was given.
+    /// The messages that the engine received, as JSON.
     pub turns: Vec<String>,
 }
 
-/// A run whose end has not reached its side process.
+/// An execution whose result has not reached its side process.
 #[derive(Clone, Debug)]
 pub struct Pending {
-    /// The side process, in one life.
+    /// The side process and its boot number.
     pub side: (NodeId, u64),
     /// The call.
     pub call: CallId,
@@ -42,28 +42,28 @@
 /// All backend servers.
 #[derive(Debug, Default)]
 pub struct Backends {
-    /// Everything that ran, in order.
+    /// All executions in order of their start.
     pub runs: Vec<Run>,
-    /// How often each call ran.
+    /// Number of executions of each call.
     pub counts: BTreeMap<CallId, u32>,
-    /// Runs under way.
+    /// Unfinished executions.
     pub pending: Vec<Pending>,
-    /// Programs in each engine's cache.
+    /// Programs in the cache of each engine.
     pub caches: BTreeMap<(NodeId, ProgramId), ()>,
 }
 
 /// Returns the body of the answer to a call.
-pub fn body_of(call: CallId, attempt: u64) -> Vec<u8> {
+pub fn answer_body(call: CallId, attempt: u64) -> Vec<u8> {
     format!("data: {{\"for\":\"{call}\",\"attempt\":{attempt}}}\n\n").into_bytes()
 }
 
 /// Returns the message that a model's answer adds to a history.
-pub fn turn_of(program: ProgramId, call: CallId) -> String {
+pub fn answer_turn(program: ProgramId, call: CallId) -> String {
     format!("{{\"from\":\"{program}\",\"call\":\"{call}\"}}")
 }
 
 impl Backends {
-    /// Starts a call: from here on it has run.
+    /// Starts a call. It counts as run from now on.
     pub fn start(&mut self, side: (NodeId, u64), call: CallId, attempt: u64, work: Work) {
         *self.counts.entry(call).or_default() += 1;
         let model = matches!(work.target, Target::Model(_));
@@ -73,9 +73,9 @@
         let answer = Answer {
             status: 200,
             kind: "text/event-stream".into(),
-            body: body_of(call, attempt),
-            turn: model.then(|| Turn::new(turn_of(work.program, call))),
-            tokens: if model { TOKENS } else { 0 },
+            body: answer_body(call, attempt),
+            turn: model.then(|| Turn::new(answer_turn(work.program, call))),
+            tokens: if model { TOKENS_PER_ANSWER } else { 0 },
         };
         self.runs.push(Run {
             call,
@@ -91,18 +91,18 @@
         });
     }
 
-    /// Drops the connection of a run.
+    /// Aborts an execution.
     pub fn abort(&mut self, side: &NodeId, call: CallId, attempt: u64) {
         self.pending
             .retain(|run| run.side.0 != *side || run.call != call || run.attempt != attempt);
     }
 
-    /// Lets the run at `index` go on: first a piece of the answer, then the
-    /// end.
+    /// Advances the execution at `index`: the first step yields a part of the
+    /// answer, the second the result.
     pub fn advance(&mut self, index: usize) -> (NodeId, u64, Event) {
         let run = &mut self.pending[index];
         let (call, attempt) = (run.call, run.attempt);
-        let (node, life) = run.side.clone();
+        let (node, boot) = run.side.clone();
         if !run.sent {
             run.sent = true;
             let bytes = run.answer.body[..8].to_vec();
@@ -111,15 +111,15 @@
                 attempt,
                 bytes,
             };
-            return (node, life, event);
+            return (node, boot, event);
         }
         let run = self.pending.remove(index);
         let end = BackendEnd::Answer(run.answer);
-        (node, life, Event::BackendDone { call, attempt, end })
+        (node, boot, Event::BackendDone { call, attempt, end })
     }
 
-    /// Breaks the run at `index` off.
-    pub fn break_off(&mut self, index: usize) -> (NodeId, u64, Event) {
+    /// Makes the execution at `index` fail.
+    pub fn fail_run(&mut self, index: usize) -> (NodeId, u64, Event) {
         let run = self.pending.remove(index);
         let event = Event::BackendDone {
             call: run.call,
--- a/lib/tests/support/caller.rs
+++ b/lib/tests/support/caller.rs
@@ -1,5 +1,5 @@
-//! The callers of the world: programs whose calls are sent in order, and
-//! again under the same key until an outcome is known.
+//! Simulated callers: programs that send their calls in order, and each call
+//! again under the same key until its outcome is known.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,14 +26,14 @@
 
 use super::world::LIMIT;
 
-/// What a caller knows of one of its calls.
+/// The status of a call as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Known {
-    /// Nothing yet.
+pub enum CallStatus {
+    /// The caller has no final reply yet.
     Open,
-    /// It was answered.
+    /// The caller received an answer.
     Answered,
-    /// Its outcome is unknown, or it ran without an answer.
+    /// The outcome is unknown, or the call ran without an answer.
     Ended,
 }
 
@@ -42,18 +42,18 @@
 pub struct PlannedCall {
     /// Its id.
     pub call: CallId,
-    /// Its place, from 1.
+    /// Its number in the program, from 1.
     pub number: u64,
-    /// Whether it asks a model; other calls are non-idempotent.
+    /// Whether it is a call to a model; other calls are non-idempotent.
     pub model: bool,
-    /// What the caller knows.
-    pub known: Known,
-    /// Its last sending. "Not run" speaks of a sending and of those before
-    /// it, not of one that the caller added meanwhile.
+    /// Its status.
+    pub status: CallStatus,
+    /// The latest request for this call. The refusal "not run" covers the
+    /// refused request and earlier ones, but not requests sent later.
     last: CallerKey,
 }
 
-/// A program and its caller.
+/// A program of a caller.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// Its id.
@@ -61,27 +61,27 @@
     /// The program whose sub-agent it is.
     pub parent: Option<ProgramId>,
     /// Index of that program.
-    above: Option<usize>,
-    /// Whether it is known to be open.
+    parent_index: Option<usize>,
+    /// Whether the caller got the confirmation that it is open.
     pub opened: bool,
-    /// Whether the system said that it knows no such program.
+    /// Whether the system reported the program as unknown.
     pub lost: bool,
-    /// Whether the caller asked for its end.
+    /// Whether the caller requested its end.
     pub ended: bool,
     /// Its calls so far.
     pub calls: Vec<PlannedCall>,
 }
 
-/// A request that waits for its answer at an entry.
+/// A request that waits for its reply at an entry.
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    /// The entry, in one life.
+    /// The entry and its boot number.
     pub entry: (NodeId, u64),
     /// Index of the program.
     pub program: usize,
-    /// Index of the call; `None` while opening.
+    /// Index of the call; `None` for the request that opens the program.
     pub call: Option<usize>,
-    /// Bytes of the answer so far.
+    /// Bytes of the answer received so far.
     pub bytes: Vec<u8>,
 }
 
@@ -90,21 +90,21 @@
 pub struct Callers {
     /// The programs.
     pub programs: Vec<Program>,
-    /// Requests under way.
+    /// Requests that wait for a reply.
     pub waiting: BTreeMap<CallerKey, Waiting>,
-    /// Refusals so far, by code.
+    /// Number of refusals so far, by code.
     pub refusals: BTreeMap<&'static str, u32>,
-    /// Answers so far.
+    /// Number of answers so far.
     pub answers: u32,
     next: u64,
 }
 
-/// A fault in what a caller was told.
-pub type Fault = String;
+/// Description of a violated guarantee.
+pub type Violation = String;
 
 impl Callers {
-    /// Makes callers of `count` programs, each third one a sub-agent of the
-    /// one before.
+    /// Creates callers with `count` programs. Every third program is a
+    /// sub-agent of the one before it.
     pub fn new(count: usize) -> Self {
         let mut callers = Self::default();
         for index in 0..count {
@@ -114,7 +114,7 @@
                     leaf: index as u64 + 1,
                 },
                 parent: None,
-                above: (index % 3 == 2).then(|| index - 1),
+                parent_index: (index % 3 == 2).then(|| index - 1),
                 opened: false,
                 lost: false,
                 ended: false,
@@ -124,8 +124,8 @@
         callers
     }
 
-    /// Returns the next request of a program's caller: its opening, its
-    /// oldest open call, or now and then the one after as well.
+    /// Returns the next request for a program: to open it, or to send one of
+    /// its open calls. At most two of its calls are open at once.
     pub fn act(&mut self, pick: u16, entry: (NodeId, u64)) -> Option<(CallerKey, Request)> {
         let index = usize::from(pick) % self.programs.len();
         let opened_parent = self.parent_is_open(index);
@@ -139,7 +139,7 @@
         let open = program
             .calls
             .iter()
-            .filter(|call| call.known == Known::Open)
+            .filter(|call| call.status == CallStatus::Open)
             .count();
         let ahead = usize::from(pick / 251 % 2);
         if open <= ahead && (program.calls.len() as u64) < LIMIT.calls + 2 {
@@ -148,12 +148,12 @@
                 call: CallId::derive(&program.id.to_string(), &number.to_string()),
                 number,
                 model: (pick / 7 + number as u16).is_multiple_of(2),
-                known: Known::Open,
+                status: CallStatus::Open,
                 last: CallerKey(0),
             });
         }
         let open: Vec<usize> = (0..program.calls.len())
-            .filter(|call| program.calls[*call].known == Known::Open)
+            .filter(|call| program.calls[*call].status == CallStatus::Open)
             .collect();
         let call = *open.get(usize::from(pick / 13) % open.len().max(1))?;
         let request = call_request(program, call);
@@ -161,15 +161,15 @@
     }
 
     fn parent_is_open(&self, index: usize) -> bool {
-        let Some(above) = self.programs[index].above else {
+        let Some(parent_index) = self.programs[index].parent_index else {
             return true;
         };
-        let parent = &self.programs[above];
+        let parent = &self.programs[parent_index];
         parent.opened && !parent.lost && !parent.ended
     }
 
-    /// Opens a program. As at a real entry, each request is for a new id, and
-    /// nobody knows the id before the answer.
+    /// Returns a request that opens a program. As at a real entry, each
+    /// request has a new id, which the caller learns from the reply only.
     fn open(&mut self, index: usize, entry: (NodeId, u64)) -> Option<(CallerKey, Request)> {
         if self
             .waiting
@@ -179,8 +179,8 @@
             return None;
         }
         let parent = self.programs[index]
-            .above
-            .map(|above| self.programs[above].id);
+            .parent_index
+            .map(|parent_index| self.programs[parent_index].id);
         let program = &mut self.programs[index];
         program.parent = parent;
         program.id.root = parent.map_or(program.id.root, |parent| parent.root);
@@ -211,63 +211,63 @@
         (key, request)
     }
 
-    /// Drops the connections to an entry that died.
+    /// Drops the connections to a crashed entry.
     pub fn disconnect(&mut self, entry: &NodeId) {
         self.waiting.retain(|_, waiting| waiting.entry.0 != *entry);
     }
 
-    /// Notes a piece of an answer.
+    /// Records a part of an answer.
     pub fn chunk(&mut self, key: CallerKey, bytes: &[u8]) {
         if let Some(waiting) = self.waiting.get_mut(&key) {
             waiting.bytes.extend_from_slice(bytes);
         }
     }
 
-    /// Notes the last word on a request and checks that it is true. `runs`
-    /// tells how often a call ran, and `lossy` whether both copies of a
-    /// shard's programs were ever lost.
+    /// Records the final reply to a request and checks that it is correct.
+    /// `runs` returns how often a call ran, and `copies_lost` whether both
+    /// copies of a program's shard were ever lost.
     ///
     /// # Errors
     ///
-    /// Returns what was wrong with the word.
+    /// Returns a description of what is wrong with the reply.
     pub fn finish(
         &mut self,
         key: CallerKey,
         reply: &Reply,
         runs: impl Fn(CallId) -> u32,
-        lossy: impl Fn(ProgramId) -> bool,
-    ) -> Result<(), Fault> {
+        copies_lost: impl Fn(ProgramId) -> bool,
+    ) -> Result<(), Violation> {
         let Some(waiting) = self.waiting.remove(&key) else {
             return Ok(());
         };
         let program = &mut self.programs[waiting.program];
         let Some(call) = waiting.call else {
-            return finish_open(program, reply, lossy);
+            return finish_open(program, reply, copies_lost);
         };
         let call = &mut program.calls[call];
         match reply {
             Reply::Ended(ending) => {
-                let whole = super::backend::body_of(call.call, ending.attempt);
+                let whole = super::backend::answer_body(call.call, ending.attempt);
                 if ending.call != call.call || waiting.bytes != whole {
                     return Err(format!("answer_whole_and_own: {call:?} got {ending:?}"));
                 }
-                if call.known == Known::Ended {
+                if call.status == CallStatus::Ended {
                     return Err(format!("an ended call was answered: {call:?}"));
                 }
                 self.answers += 1;
-                call.known = Known::Answered;
+                call.status = CallStatus::Answered;
             }
             Reply::Refused(refusal) => {
                 *self.refusals.entry(refusal.code.as_str()).or_default() += 1;
                 let count = runs(call.call);
                 match refusal.code.ran() {
                     Ran::NotRun if count > 0 && !call.model && call.last == key => {
-                        return Err(format!("not_run_is_true: {call:?} ran, told {refusal:?}"));
+                        return Err(format!("not_run_is_true: {call:?} ran but got {refusal:?}"));
                     }
                     _ => {}
                 }
                 match refusal.code {
-                    Code::ProgramUnknown if !lossy(program.id) => {
+                    Code::ProgramUnknown if !copies_lost(program.id) => {
                         return Err(format!("program_never_lost: {:?}", program.id));
                     }
                     Code::ProgramUnknown => program.lost = true,
@@ -275,17 +275,17 @@
                     | Code::BackendFailed
                     | Code::TimedOut
                     | Code::AnswerExpired
-                        if call.known == Known::Open && refusal.detail.is_empty() =>
+                        if call.status == CallStatus::Open && refusal.detail.is_empty() =>
                     {
-                        call.known = Known::Ended;
+                        call.status = CallStatus::Ended;
                     }
                     Code::IdReused | Code::HistoryMismatch => {
-                        return Err(format!("told {refusal:?} of {call:?}"));
+                        return Err(format!("unexpected {refusal:?} for {call:?}"));
                     }
                     _ => {}
                 }
             }
-            Reply::Program(_) | Reply::Moved => return Err(format!("told {reply:?}")),
+            Reply::Program(_) | Reply::Moved => return Err(format!("unexpected reply {reply:?}")),
         }
         Ok(())
     }
@@ -294,8 +294,8 @@
 fn finish_open(
     program: &mut Program,
     reply: &Reply,
-    lossy: impl Fn(ProgramId) -> bool,
-) -> Result<(), Fault> {
+    copies_lost: impl Fn(ProgramId) -> bool,
+) -> Result<(), Violation> {
     match reply {
         Reply::Program(view) if view.program == program.id => {
             program.opened = true;
@@ -303,8 +303,9 @@
         }
         Reply::Refused(refusal) => {
             if refusal.code == Code::ProgramUnknown {
-                // The parent: it may only be lost with both copies.
-                if !lossy(program.id) {
+                // The parent is unknown, which is allowed only if both copies
+                // of it were lost.
+                if !copies_lost(program.id) {
                     return Err(format!("program_never_lost: parent of {:?}", program.id));
                 }
                 program.lost = true;
--- a/lib/tests/support/invariant.rs
+++ b/lib/tests/support/invariant.rs
@@ -1,4 +1,5 @@
-//! The promises, one function each, checked after every step.
+//! The guarantees, with one function each. Those about calls are checked
+//! whenever a call starts, those about epochs and versions after every step.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +8,15 @@
 use limpetferry_lib::id::Version;
 
 use super::backend::Run;
-use super::backend::turn_of;
+use super::backend::answer_turn;
+use super::caller::CallStatus;
 use super::caller::Callers;
-use super::caller::Fault;
-use super::caller::Known;
+use super::caller::Violation;
 use super::world::LIMIT;
 use super::world::World;
 
 /// A non-idempotent call runs at most once.
-pub fn at_most_once(callers: &Callers, counts: &BTreeMap<CallId, u32>) -> Result<(), Fault> {
+pub fn at_most_once(callers: &Callers, counts: &BTreeMap<CallId, u32>) -> Result<(), Violation> {
     for program in &callers.programs {
         for call in program.calls.iter().filter(|call| !call.model) {
             let count = counts.get(&call.call).copied().unwrap_or(0);
@@ -27,9 +28,9 @@
     Ok(())
 }
 
-/// The calls of one program run in the order that the program made them.
-/// `runs` ends with the newest run.
-pub fn calls_in_order(callers: &Callers, runs: &[Run]) -> Result<(), Fault> {
+/// The calls of a program run in the order in which the program made them.
+/// Checks the last element of `runs`.
+pub fn calls_in_order(callers: &Callers, runs: &[Run]) -> Result<(), Violation> {
     let Some((newest, earlier)) = runs.split_last() else {
         return Ok(());
     };
@@ -53,10 +54,10 @@
     Ok(())
 }
 
-/// A history is never lost and never mixed with another program's: what an
-/// engine is given holds each answer that the caller knows of, in order, and
-/// nothing of another program.
-pub fn history_whole(callers: &Callers, runs: &[Run]) -> Result<(), Fault> {
+/// A history is never lost and never mixed with another program's: the
+/// messages that an engine receives contain each answer that the caller has
+/// received, in order, and no message of another program.
+pub fn history_whole(callers: &Callers, runs: &[Run]) -> Result<(), Violation> {
     let Some(run) = runs.last().filter(|run| !run.turns.is_empty()) else {
         return Ok(());
     };
@@ -68,11 +69,11 @@
         if call.call == run.call {
             break;
         }
-        let turn = turn_of(program.id, call.call);
+        let turn = answer_turn(program.id, call.call);
         let found = run.turns[at..].iter().position(|text| *text == turn);
         match found {
             Some(offset) => at += offset + 1,
-            None if call.known == Known::Answered => {
+            None if call.status == CallStatus::Answered => {
                 return Err(format!(
                     "history_whole: {run:?} lacks the answer of {call:?}"
                 ));
@@ -80,15 +81,17 @@
             None => {}
         }
     }
-    let foreign = |text: &&String| text.contains("from") && !text.contains(&program.id.to_string());
-    match run.turns.iter().find(foreign) {
+    let of_other_program =
+        |text: &&String| text.contains("from") && !text.contains(&program.id.to_string());
+    match run.turns.iter().find(of_other_program) {
         Some(text) => Err(format!("history_not_mixed: {run:?} holds {text}")),
         None => Ok(()),
     }
 }
 
-/// A program's budget holds, over all owners that it ever had.
-pub fn budget_holds(callers: &Callers, runs: &[Run]) -> Result<(), Fault> {
+/// A program and its sub-agents never exceed the budget of calls, across all
+/// owners that the program ever had.
+pub fn budget_holds(callers: &Callers, runs: &[Run]) -> Result<(), Violation> {
     for program in &callers.programs {
         let in_tree = |id: ProgramId| {
             let child = callers.programs.iter().find(|p| p.id == id);
@@ -106,9 +109,10 @@
     Ok(())
 }
 
-/// No process goes back to an older epoch, and two owners of one shard never
-/// both have their keeper's word in one epoch.
-pub fn epochs_grow(world: &mut World) -> Result<(), Fault> {
+/// No process goes back to an older epoch of a shard. That two owners of a
+/// shard never both get acknowledgements of their keeper in the same epoch is
+/// not checked here.
+pub fn epochs_grow(world: &mut World) -> Result<(), Violation> {
     let mut seen = Vec::new();
     for (node, entry) in world.entries() {
         for (shard, assignment) in entry.map().iter() {
@@ -127,25 +131,25 @@
 }
 
 /// A process never goes back to an older version of the settings.
-pub fn versions_grow(world: &mut World) -> Result<(), Fault> {
-    for (life, version) in world.in_force() {
-        let old = world.versions.insert(life.clone(), version);
+pub fn versions_grow(world: &mut World) -> Result<(), Violation> {
+    for (process, version) in world.in_force() {
+        let old = world.versions.insert(process.clone(), version);
         if old.is_some_and(|old| old > version) {
             return Err(format!(
-                "versions_grow: {life:?} fell from {old:?} to {version:?}"
+                "versions_grow: {process:?} fell from {old:?} to {version:?}"
             ));
         }
     }
     Ok(())
 }
 
-/// Once nothing fails any more, every process has the newest settings in
-/// force, whoever of them heard of a patch first.
-pub fn newest_everywhere(world: &World, newest: Version) -> Result<(), Fault> {
-    for (life, version) in world.in_force() {
+/// Once all failures have ended, every process has the newest settings in
+/// force, regardless of which of them received a patch first.
+pub fn newest_everywhere(world: &World, newest: Version) -> Result<(), Violation> {
+    for (process, version) in world.in_force() {
         if version != newest {
             return Err(format!(
-                "newest_everywhere: {life:?} has {version:?}, the newest is {newest:?}"
+                "newest_everywhere: {process:?} has {version:?}, the newest is {newest:?}"
             ));
         }
     }
--- a/lib/tests/support/mod.rs
+++ b/lib/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small world around the reducers, for tests that interleave, drop, double
-//! and delay what reaches them.
+//! A deterministic simulation around the reducers. Tests use it to reorder,
+//! drop, duplicate and delay the reducers' inputs.
 
 pub mod action;
 pub mod backend;
--- a/lib/tests/support/net.rs
+++ b/lib/tests/support/net.rs
@@ -1,4 +1,4 @@
-//! Links between the processes of the world.
+//! Simulated links between processes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,26 +7,26 @@
 use limpetferry_lib::id::NodeId;
 use limpetferry_lib::message::Message;
 
-/// The two ends of a link, the lower name first.
+/// The two ends of a link, in ascending order.
 pub type Pair = (NodeId, NodeId);
 
-/// Something that a process has yet to notice about a link.
+/// An event on a link that one end has not handled yet.
 #[derive(Clone, Debug)]
-pub enum Notice {
-    /// The link is there.
+pub enum LinkEvent {
+    /// The link to the other process was established.
     Up(NodeId),
-    /// The link is lost.
+    /// The link to the other process was lost.
     Down(NodeId),
-    /// A message came by it.
+    /// A message arrived from the other process.
     Message(NodeId, Box<Message>),
 }
 
-/// All links: an inbox for each direction, in order, as TCP keeps it.
+/// All links. Each direction has an inbox that preserves the order, like TCP.
 #[derive(Debug, Default)]
 pub struct Net {
     up: BTreeSet<Pair>,
-    parted: BTreeSet<Pair>,
-    inboxes: BTreeMap<(NodeId, NodeId), VecDeque<Notice>>,
+    partitioned: BTreeSet<Pair>,
+    inboxes: BTreeMap<(NodeId, NodeId), VecDeque<LinkEvent>>,
 }
 
 fn pair(a: &NodeId, b: &NodeId) -> Pair {
@@ -38,28 +38,28 @@
 }
 
 impl Net {
-    /// Sends a message, if there is a link.
+    /// Sends a message; drops it if there is no link.
     pub fn send(&mut self, from: &NodeId, to: &NodeId, message: Message) {
         if self.up.contains(&pair(from, to)) {
             let inbox = self.inboxes.entry((from.clone(), to.clone())).or_default();
-            inbox.push_back(Notice::Message(from.clone(), Box::new(message)));
+            inbox.push_back(LinkEvent::Message(from.clone(), Box::new(message)));
         }
     }
 
-    /// Breaks a link. What the receivers had not read is lost, and each end
-    /// notices in its own time.
+    /// Breaks a link. Unread messages are lost. Each end gets the event
+    /// separately.
     pub fn cut(&mut self, a: &NodeId, b: &NodeId) {
         if !self.up.remove(&pair(a, b)) {
             return;
         }
         for (from, to) in [(a, b), (b, a)] {
             let inbox = self.inboxes.entry((from.clone(), to.clone())).or_default();
-            inbox.retain(|notice| !matches!(notice, Notice::Message(..)));
-            inbox.push_back(Notice::Down(from.clone()));
+            inbox.retain(|notice| !matches!(notice, LinkEvent::Message(..)));
+            inbox.push_back(LinkEvent::Down(from.clone()));
         }
     }
 
-    /// Breaks all links of a process that died; the dead notice nothing.
+    /// Breaks all links of a crashed process and clears its inboxes.
     pub fn drop_node(&mut self, node: &NodeId) {
         let links: Vec<Pair> = self
             .up
@@ -77,36 +77,37 @@
         }
     }
 
-    /// Makes a link, unless there is one or the ends are parted.
+    /// Establishes a link, unless it exists or the ends are partitioned.
     pub fn connect(&mut self, a: &NodeId, b: &NodeId) {
         let key = pair(a, b);
-        if self.parted.contains(&key) || !self.up.insert(key) {
+        if self.partitioned.contains(&key) || !self.up.insert(key) {
             return;
         }
         for (from, to) in [(a, b), (b, a)] {
             let inbox = self.inboxes.entry((from.clone(), to.clone())).or_default();
-            inbox.push_back(Notice::Up(from.clone()));
+            inbox.push_back(LinkEvent::Up(from.clone()));
         }
     }
 
-    /// Keeps two processes from reaching each other.
-    pub fn part(&mut self, a: &NodeId, b: &NodeId) {
+    /// Breaks the link between two processes and prevents a new one.
+    pub fn partition(&mut self, a: &NodeId, b: &NodeId) {
         self.cut(a, b);
-        self.parted.insert(pair(a, b));
+        self.partitioned.insert(pair(a, b));
     }
 
-    /// Lets all processes reach each other.
-    pub fn mend(&mut self) {
-        self.parted.clear();
+    /// Allows links between all processes again.
+    pub fn heal_partitions(&mut self) {
+        self.partitioned.clear();
     }
 
-    /// Returns the links.
+    /// Returns the established links.
     pub fn links(&self) -> Vec<Pair> {
         self.up.iter().cloned().collect()
     }
 
-    /// Returns the directions in which something waits to be noticed.
-    pub fn waiting(&self, may: impl Fn(&NodeId) -> bool) -> Vec<(NodeId, NodeId)> {
+    /// Returns the directions with unhandled events whose receiver passes
+    /// `may`.
+    pub fn pending_directions(&self, may: impl Fn(&NodeId) -> bool) -> Vec<(NodeId, NodeId)> {
         let full = self
             .inboxes
             .iter()
@@ -114,8 +115,8 @@
         full.map(|(direction, _)| direction.clone()).collect()
     }
 
-    /// Takes what is to be noticed next in a direction.
-    pub fn take(&mut self, direction: &(NodeId, NodeId)) -> Option<Notice> {
+    /// Removes and returns the next event in a direction.
+    pub fn pop(&mut self, direction: &(NodeId, NodeId)) -> Option<LinkEvent> {
         self.inboxes.get_mut(direction)?.pop_front()
     }
 }
--- a/lib/tests/support/store.rs
+++ b/lib/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service of the world: shard blocks with compare-and-swap.
+//! A simulated key-value service: one shard block with compare-and-swap.
 
 use std::collections::VecDeque;
 
@@ -6,37 +6,37 @@
 use limpetferry_lib::id::NodeId;
 use limpetferry_lib::shard::Block;
 
-/// A request that has not reached the service yet.
+/// A request to the service.
 #[derive(Clone, Debug)]
 pub enum StoreRequest {
-    /// Replaces the block if it has the revision.
+    /// Replaces the block if it has this revision.
     Swap(u64, Block),
     /// Reads the block.
     Read,
 }
 
-/// The service, with one block.
+/// The simulated service.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// Whether it answers nothing.
+    /// Whether the service is down.
     pub down: bool,
-    /// Writes whose answers are lost, to come.
-    pub lose: u32,
+    /// Number of future successful writes whose replies will be lost.
+    pub lost_replies: u32,
     /// Revision of the whole service.
     pub revision: u64,
     block: (u64, Block),
-    /// Requests of the system so far.
-    pub asked: u64,
-    /// Requests under way.
+    /// Number of requests received so far.
+    pub request_count: u64,
+    /// Requests in transit.
     pub requests: VecDeque<(NodeId, StoreRequest)>,
-    /// Answers and notices under way.
+    /// Replies and notifications in transit.
     pub answers: Vec<(NodeId, Event)>,
 }
 
 impl Store {
-    /// Takes a request under way.
-    pub fn ask(&mut self, node: NodeId, request: StoreRequest) {
-        self.asked += 1;
+    /// Adds a request from `node`.
+    pub fn enqueue(&mut self, node: NodeId, request: StoreRequest) {
+        self.request_count += 1;
         self.requests.push_back((node, request));
     }
 
@@ -51,8 +51,8 @@
         (self.block.0, &self.block.1)
     }
 
-    /// Returns the event of a reading.
-    pub fn reading(&self) -> Event {
+    /// Returns the event that a read of the block yields.
+    pub fn block_event(&self) -> Event {
         Event::Block {
             block: 0,
             revision: self.block.0,
@@ -60,8 +60,7 @@
         }
     }
 
-    /// Handles the request that waits at `index`; `watchers` are told of a
-    /// change.
+    /// Handles the request at `index`; `watchers` are notified of a change.
     pub fn handle(&mut self, index: usize, watchers: &[NodeId]) {
         let Some((node, request)) = self.requests.remove(index) else {
             return;
@@ -75,7 +74,7 @@
             return;
         }
         let answer = match request {
-            StoreRequest::Read => self.reading(),
+            StoreRequest::Read => self.block_event(),
             StoreRequest::Swap(revision, _) if revision != self.block.0 => {
                 Event::SwapFailed { block: 0 }
             }
@@ -88,10 +87,10 @@
         self.revision += 1;
         self.block = (self.revision, value.clone());
         for watcher in watchers {
-            self.answers.push((watcher.clone(), self.reading()));
+            self.answers.push((watcher.clone(), self.block_event()));
         }
-        if self.lose > 0 {
-            self.lose -= 1;
+        if self.lost_replies > 0 {
+            self.lost_replies -= 1;
             return Event::SwapFailed { block: 0 };
         }
         Event::Swapped {
--- a/lib/tests/support/world.rs
+++ b/lib/tests/support/world.rs
@@ -1,4 +1,5 @@
-//! Entries, side processes and everything around them, driven step by step.
+//! A simulation of entries, side processes and their environment, advanced
+//! step by step.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,27 +30,27 @@
 use super::action::Action;
 use super::backend::Backends;
 use super::caller::Callers;
-use super::caller::Fault;
+use super::caller::Violation;
 use super::invariant;
+use super::net::LinkEvent;
 use super::net::Net;
-use super::net::Notice;
 use super::store::Store;
 use super::store::StoreRequest;
 
-/// What each program may spend.
+/// Budget of each program.
 pub const LIMIT: Amount = Amount {
     tokens: 100_000,
     calls: 12,
 };
 
-/// Lines that a report holds.
-const TRACED: usize = 4_000;
+/// Number of latest trace lines that the report of a failed run contains.
+const MAX_TRACE_LINES: usize = 4_000;
 /// The operator of the one deployment.
 const OPERATOR: &str = "op";
 const ENTRIES: usize = 3;
 const SIDES: usize = 3;
-/// Side processes that have a data folder.
-const STORING: usize = 2;
+/// Number of side processes that have a data folder.
+const SIDES_WITH_DISK: usize = 2;
 const PROGRAMS: usize = 6;
 
 enum Reducer {
@@ -59,21 +60,21 @@
 
 struct Process {
     node: Node,
-    life: u64,
+    boot: u64,
     reducer: Option<Reducer>,
     paused: bool,
-    /// What it stored, if it is one that has a data folder.
+    /// Stored records; only read by side processes with a data folder.
     disk: Vec<CopyRecord>,
 }
 
-/// Returns the pick of a call that, over a run of numbers, lets each program
-/// in turn go on through one entry after the other.
-pub fn next_call(number: u16) -> u16 {
+/// Returns the value for [`Action::Call`] in the step `number` of a sequence
+/// in which the programs take turns, and each round uses the next entry.
+pub fn call_pick(number: u16) -> u16 {
     let programs = PROGRAMS as u16;
     number % programs + programs * 251 * 2 * (number / programs % 7)
 }
 
-/// The world.
+/// The simulation.
 pub struct World {
     now: Time,
     processes: Vec<Process>,
@@ -84,18 +85,19 @@
     pub backends: Backends,
     /// The callers.
     pub callers: Callers,
-    /// Highest epoch that each process knew of each shard.
+    /// Latest epoch of each shard in each process.
     pub epochs: BTreeMap<(NodeId, ShardId), Epoch>,
     rules: Rules,
-    /// Text of the newest document, and its version.
+    /// Text of the newest settings document.
     document: String,
     version: u64,
-    /// Highest version that each life of a process had in force.
+    /// Latest settings version in force in each process, by name and boot
+    /// number.
     pub versions: BTreeMap<(NodeId, u64), Version>,
-    fault: Option<Fault>,
-    /// Steps taken.
+    violation: Option<Violation>,
+    /// Number of steps so far.
     pub steps: u64,
-    /// What happened last, for the report of a failed run.
+    /// The latest events, for the report of a failed run.
     trace: VecDeque<String>,
 }
 
@@ -118,8 +120,9 @@
     .to_string()
 }
 
-/// Returns the line of an effect that matters for who runs what.
-fn traced(effect: &Effect) -> Option<String> {
+/// Returns the trace line of an effect; `None` for effects that do not show
+/// which process runs which call.
+fn trace_line(effect: &Effect) -> Option<String> {
     match effect {
         Effect::Send { message, .. } => match message {
             Message::Beat(_)
@@ -141,7 +144,7 @@
 }
 
 impl World {
-    /// Makes a world in which every process has just started.
+    /// Creates a simulation in which all processes are started and connected.
     pub fn new() -> Self {
         let mut world = Self {
             now: Time::from_millis(1_000),
@@ -158,7 +161,7 @@
             document: String::new(),
             version: 1,
             versions: BTreeMap::new(),
-            fault: None,
+            violation: None,
             steps: 0,
             trace: VecDeque::new(),
         };
@@ -170,7 +173,7 @@
         for index in 0..world.processes.len() {
             world.start(index);
         }
-        world.calm(20);
+        world.run_without_faults(20);
         world
     }
 
@@ -188,7 +191,7 @@
                 address: name.clone(),
                 vm: name,
             },
-            life: 0,
+            boot: 0,
             reducer: None,
             paused: false,
             disk: Vec::new(),
@@ -203,7 +206,7 @@
         fits.map(|process| process.node.id.clone()).collect()
     }
 
-    /// Returns the entries that live.
+    /// Returns the running entries.
     pub fn entries(&self) -> impl Iterator<Item = (&NodeId, &Entry)> {
         self.processes
             .iter()
@@ -213,7 +216,7 @@
             })
     }
 
-    /// Returns the side processes that live.
+    /// Returns the running side processes.
     pub fn sides(&self) -> impl Iterator<Item = (&NodeId, &Side)> {
         self.processes
             .iter()
@@ -225,11 +228,11 @@
 
     fn start(&mut self, index: usize) {
         let boot = self.store.boot();
-        let reading = self.store.reading();
+        let block_event = self.store.block_event();
         let registry: Vec<Node> = self.processes.iter().map(|p| p.node.clone()).collect();
         let document = self.document.clone();
         let process = &mut self.processes[index];
-        process.life = boot;
+        process.boot = boot;
         process.paused = false;
         let id = process.node.id.clone();
         match process.node.role {
@@ -237,15 +240,16 @@
                 let centre = process.node.centre.clone();
                 let entry = Entry::new(id.clone(), centre, Boot(boot), self.rules.clone(), boot);
                 process.reducer = Some(Reducer::Entry(Box::new(entry)));
-                // Links may be made before the registry has been read.
+                // Links may be established before the registry is read, so
+                // that event is delivered later.
                 let registered = entry::Event::Registry(registry);
                 self.store.answers.push((id, registered));
                 self.entry_event(index, entry::Event::Document(document));
-                self.entry_event(index, reading);
+                self.entry_event(index, block_event);
             }
             Role::Side => {
                 let mut side = Side::new(id, Boot(boot), self.rules.clone());
-                if index >= ENTRIES + SIDES - STORING {
+                if index >= ENTRIES + SIDES - SIDES_WITH_DISK {
                     side.recover(process.disk.iter().cloned());
                 }
                 process.reducer = Some(Reducer::Side(Box::new(side)));
@@ -253,7 +257,7 @@
                     block,
                     revision,
                     value,
-                } = reading
+                } = block_event
                 {
                     let event = side::Event::Block {
                         block,
@@ -276,21 +280,21 @@
         self.epochs.retain(|(node, _), _| *node != id);
     }
 
-    /// Notes a line for the report of a failed run.
+    /// Adds a line to the report of a failed run.
     fn trace(&mut self, line: String) {
-        if self.trace.len() >= TRACED {
+        if self.trace.len() >= MAX_TRACE_LINES {
             self.trace.pop_front();
         }
         self.trace.push_back(format!("{:?} {line}", self.now));
     }
 
-    fn report(&mut self) -> Result<(), Fault> {
-        let Some(fault) = self.fault.take() else {
+    fn report(&mut self) -> Result<(), Violation> {
+        let Some(violation) = self.violation.take() else {
             return Ok(());
         };
         let lines: Vec<String> = self.trace.iter().cloned().collect();
         Err(format!(
-            "{fault}\ntrace:\n{}\nend of trace",
+            "{violation}\ntrace:\n{}\nend of trace",
             lines.join("\n")
         ))
     }
@@ -317,9 +321,9 @@
 
     fn perform(&mut self, index: usize, out: Vec<Effect>) {
         let id = self.processes[index].node.id.clone();
-        let life = self.processes[index].life;
+        let boot = self.processes[index].boot;
         for effect in out {
-            if let Some(line) = traced(&effect) {
+            if let Some(line) = trace_line(&effect) {
                 self.trace(format!("{id}: {line}"));
             }
             match effect {
@@ -330,28 +334,28 @@
                     let runs = |call| counts.get(&call).copied().unwrap_or(0);
                     let (_, block) = self.store.block();
                     let shards = self.rules.shards;
-                    let lossy = |program: limpetferry_lib::id::ProgramId| {
+                    let copies_lost = |program: limpetferry_lib::id::ProgramId| {
                         block.shards[usize::from(program.shard(shards).0)].lost.0 > 0
                     };
-                    if let Err(fault) = self.callers.finish(caller, &reply, runs, lossy) {
-                        self.fault.get_or_insert(fault);
+                    if let Err(violation) = self.callers.finish(caller, &reply, runs, copies_lost) {
+                        self.violation.get_or_insert(violation);
                     }
                 }
                 Effect::Swap {
                     revision, value, ..
                 } => {
                     let request = StoreRequest::Swap(revision, value);
-                    self.store.ask(id.clone(), request);
+                    self.store.enqueue(id.clone(), request);
                 }
                 Effect::Reread { .. } => {
-                    self.store.ask(id.clone(), StoreRequest::Read);
+                    self.store.enqueue(id.clone(), StoreRequest::Read);
                 }
                 Effect::Start {
                     call,
                     attempt,
                     work,
                 } => {
-                    self.backends.start((id.clone(), life), call, attempt, work);
+                    self.backends.start((id.clone(), boot), call, attempt, work);
                     self.check_run();
                 }
                 Effect::Abort { call, attempt } => self.backends.abort(&id, call, attempt),
@@ -373,20 +377,20 @@
             invariant::budget_holds(&self.callers, runs),
         ];
         for check in checks {
-            if let Err(fault) = check {
-                self.fault.get_or_insert(fault);
+            if let Err(violation) = check {
+                self.violation.get_or_insert(violation);
             }
         }
     }
 
-    fn index_of(&self, id: &NodeId) -> Option<usize> {
+    fn process_index(&self, id: &NodeId) -> Option<usize> {
         self.processes
             .iter()
             .position(|process| process.node.id == *id)
     }
 
-    fn is_awake(&self, id: &NodeId) -> bool {
-        let process = self.index_of(id).map(|index| &self.processes[index]);
+    fn is_responsive(&self, id: &NodeId) -> bool {
+        let process = self.process_index(id).map(|index| &self.processes[index]);
         process.is_some_and(|process| process.reducer.is_some() && !process.paused)
     }
 
@@ -396,8 +400,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first promise that was broken.
-    pub fn step(&mut self, action: Action) -> Result<(), Fault> {
+    /// Returns the first violated guarantee.
+    pub fn step(&mut self, action: Action) -> Result<(), Violation> {
         self.steps += 1;
         if !matches!(
             action,
@@ -412,7 +416,7 @@
             Action::Tick(pick) => self.tick(usize::from(pick) % self.processes.len()),
             Action::Wait(pick) => self.wait(Duration::from_millis(u64::from(pick % 700))),
             Action::Call(pick) => self.call(pick),
-            Action::Impatient(pick) => self.impatient(pick),
+            Action::AbandonRequest(pick) => self.abandon_request(pick),
             Action::Crash(pick) => self.crash(usize::from(pick) % self.processes.len()),
             Action::Restart(pick) => {
                 let index = usize::from(pick) % self.processes.len();
@@ -429,29 +433,29 @@
                 self.processes[index].paused = false;
             }
             Action::Cut(pick) => self.cut(pick, false),
-            Action::Part(pick) => self.cut(pick, true),
-            Action::Mend => self.net.mend(),
+            Action::Partition(pick) => self.cut(pick, true),
+            Action::HealPartitions => self.net.heal_partitions(),
             Action::Outage(down) => self.store.down = down,
-            Action::LoseReply(pick) => self.store.lose = u32::from(pick % 2),
+            Action::LoseReply(pick) => self.store.lost_replies = u32::from(pick % 2),
             Action::Leave(pick) => {
                 let index = ENTRIES + usize::from(pick) % SIDES;
                 self.side_event(index, side::Event::Leave);
             }
-            Action::Double(pick) => self.double(pick),
-            Action::Break(pick) => self.break_off(pick),
+            Action::DuplicateNotification(pick) => self.duplicate_notification(pick),
+            Action::FailRun(pick) => self.fail_run(pick),
             Action::Patch if self.store.down => {}
             Action::Patch => self.patch(),
         }
         for check in [invariant::epochs_grow, invariant::versions_grow] {
-            if let Err(fault) = check(self) {
-                self.fault.get_or_insert(fault);
+            if let Err(violation) = check(self) {
+                self.violation.get_or_insert(violation);
             }
         }
         self.report()
     }
 
     fn deliver(&mut self, pick: u16) {
-        let directions = self.net.waiting(|to| self.is_awake(to));
+        let directions = self.net.pending_directions(|to| self.is_responsive(to));
         let total = directions.len()
             + self.store.requests.len()
             + self.store.answers.len()
@@ -461,7 +465,7 @@
         }
         let mut at = usize::from(pick) % total;
         if let Some(direction) = directions.get(at) {
-            self.notice(direction);
+            self.deliver_link_event(direction);
             return;
         }
         at -= directions.len();
@@ -473,52 +477,52 @@
         at -= self.store.requests.len();
         if at < self.store.answers.len() {
             let (id, event) = self.store.answers[at].clone();
-            if self.is_awake(&id) {
+            if self.is_responsive(&id) {
                 self.store.answers.remove(at);
-                if let Some(index) = self.index_of(&id) {
+                if let Some(index) = self.process_index(&id) {
                     self.entry_event(index, event);
                 }
             }
             return;
         }
         at -= self.store.answers.len();
-        let (id, life, event) = self.backends.advance(at);
-        self.backend_event(&id, life, event);
+        let (id, boot, event) = self.backends.advance(at);
+        self.backend_event(&id, boot, event);
     }
 
-    fn backend_event(&mut self, id: &NodeId, life: u64, event: side::Event) {
-        let index = self.index_of(id);
-        if let Some(index) = index.filter(|index| self.processes[*index].life == life) {
+    fn backend_event(&mut self, id: &NodeId, boot: u64, event: side::Event) {
+        let index = self.process_index(id);
+        if let Some(index) = index.filter(|index| self.processes[*index].boot == boot) {
             self.side_event(index, event);
         }
     }
 
-    fn notice(&mut self, direction: &(NodeId, NodeId)) {
-        let Some(notice) = self.net.take(direction) else {
+    fn deliver_link_event(&mut self, direction: &(NodeId, NodeId)) {
+        let Some(notice) = self.net.pop(direction) else {
             return;
         };
-        let Some(index) = self.index_of(&direction.1) else {
+        let Some(index) = self.process_index(&direction.1) else {
             return;
         };
         let is_entry = self.processes[index].node.role == Role::Entry;
         match notice {
-            Notice::Up(node) if is_entry => {
+            LinkEvent::Up(node) if is_entry => {
                 let other = self
-                    .index_of(&node)
-                    .map_or(0, |other| self.processes[other].life);
+                    .process_index(&node)
+                    .map_or(0, |other| self.processes[other].boot);
                 let boot = Boot(other);
                 self.entry_event(index, entry::Event::LinkUp { node, boot });
             }
-            Notice::Up(node) => self.side_event(index, side::Event::LinkUp { node }),
-            Notice::Down(node) if is_entry => {
+            LinkEvent::Up(node) => self.side_event(index, side::Event::LinkUp { node }),
+            LinkEvent::Down(node) if is_entry => {
                 self.entry_event(index, entry::Event::LinkDown { node });
             }
-            Notice::Down(node) => self.side_event(index, side::Event::LinkDown { node }),
-            Notice::Message(from, message) if is_entry => {
+            LinkEvent::Down(node) => self.side_event(index, side::Event::LinkDown { node }),
+            LinkEvent::Message(from, message) if is_entry => {
                 let message = *message;
                 self.entry_event(index, entry::Event::Message { from, message });
             }
-            Notice::Message(from, message) => {
+            LinkEvent::Message(from, message) => {
                 let message = *message;
                 self.side_event(index, side::Event::Message { from, message });
             }
@@ -527,12 +531,12 @@
 
     fn settle(&mut self) {
         for pick in 0..400 {
-            let directions = self.net.waiting(|to| self.is_awake(to));
+            let directions = self.net.pending_directions(|to| self.is_responsive(to));
             let Some(direction) = directions.get(pick % directions.len().max(1)) else {
                 return;
             };
             let direction = direction.clone();
-            self.notice(&direction);
+            self.deliver_link_event(&direction);
         }
     }
 
@@ -549,14 +553,14 @@
 
     fn wait(&mut self, span: Duration) {
         self.now = self.now + span;
-        self.dial();
+        self.connect_all();
         for index in 0..self.processes.len() {
             self.tick(index);
         }
     }
 
-    /// Makes the links that are missing.
-    fn dial(&mut self) {
+    /// Establishes missing links.
+    fn connect_all(&mut self) {
         let alive: Vec<(NodeId, Role)> = self
             .processes
             .iter()
@@ -578,7 +582,7 @@
         if process.reducer.is_none() {
             return;
         }
-        let entry = (process.node.id.clone(), process.life);
+        let entry = (process.node.id.clone(), process.boot);
         if let Some((caller, request)) = self.callers.act(pick, entry) {
             let event = entry::Event::Caller {
                 caller,
@@ -589,13 +593,13 @@
         }
     }
 
-    fn impatient(&mut self, pick: u16) {
+    fn abandon_request(&mut self, pick: u16) {
         let keys: Vec<_> = self.callers.waiting.keys().copied().collect();
         let Some(key) = keys.get(usize::from(pick) % keys.len().max(1)) else {
             return;
         };
         if let Some(waiting) = self.callers.waiting.remove(key)
-            && let Some(index) = self.index_of(&waiting.entry.0)
+            && let Some(index) = self.process_index(&waiting.entry.0)
         {
             self.entry_event(index, entry::Event::CallerGone(*key));
         }
@@ -607,13 +611,14 @@
             return;
         };
         if part {
-            self.net.part(a, b);
+            self.net.partition(a, b);
         } else {
             self.net.cut(a, b);
         }
     }
 
-    /// Applies a patch; every entry's watch brings it, in any order.
+    /// Stores a patched document. Each entry gets a notification of it, in any
+    /// order.
     fn patch(&mut self) {
         self.version += 1;
         let sides = self.names(Role::Side);
@@ -624,7 +629,7 @@
         }
     }
 
-    /// Returns the version in force in each process that lives.
+    /// Returns the settings version in force in each running process.
     pub fn in_force(&self) -> Vec<((NodeId, u64), Version)> {
         let operator = Operator::new(OPERATOR);
         let mut versions = Vec::new();
@@ -634,13 +639,13 @@
                 Some(Reducer::Side(side)) => side.documents(),
                 None => continue,
             };
-            let life = (process.node.id.clone(), process.life);
-            versions.push((life, documents.version(&operator)));
+            let key = (process.node.id.clone(), process.boot);
+            versions.push((key, documents.version(&operator)));
         }
         versions
     }
 
-    fn double(&mut self, pick: u16) {
+    fn duplicate_notification(&mut self, pick: u16) {
         let notice = |(_, event): &&(NodeId, entry::Event)| {
             matches!(
                 event,
@@ -653,18 +658,19 @@
         }
     }
 
-    fn break_off(&mut self, pick: u16) {
+    fn fail_run(&mut self, pick: u16) {
         let count = self.backends.pending.len();
         if count > 0 {
-            let (id, life, event) = self.backends.break_off(usize::from(pick) % count);
-            self.backend_event(&id, life, event);
+            let (id, boot, event) = self.backends.fail_run(usize::from(pick) % count);
+            self.backend_event(&id, boot, event);
         }
     }
 
-    // The end.
+    // Steady state and end of a run.
 
-    /// Lets everything under way come to rest, in small steps of time.
-    pub fn calm(&mut self, rounds: u32) {
+    /// Advances the time in small steps and delivers everything in transit,
+    /// without further failures.
+    pub fn run_without_faults(&mut self, rounds: u32) {
         for _ in 0..rounds {
             self.wait(Duration::from_millis(100));
             self.settle();
@@ -673,52 +679,52 @@
                 self.store.handle(0, &watchers);
             }
             while let Some((id, event)) = self.store.answers.pop() {
-                if let Some(index) = self.index_of(&id) {
+                if let Some(index) = self.process_index(&id) {
                     self.entry_event(index, event);
                 }
             }
             while !self.backends.pending.is_empty() {
-                let (id, life, event) = self.backends.advance(0);
-                self.backend_event(&id, life, event);
+                let (id, boot, event) = self.backends.advance(0);
+                self.backend_event(&id, boot, event);
             }
             self.settle();
         }
     }
 
-    /// Ends all faults, lets callers send what is open again, and checks that
-    /// every call gets its last word.
+    /// Ends all failures, lets callers send their open calls again, and checks
+    /// that every call gets its final reply.
     ///
     /// # Errors
     ///
-    /// Returns what never came to an end, or a promise that was broken.
-    pub fn heal(&mut self) -> Result<(), Fault> {
+    /// Returns what never ended, or a violated guarantee.
+    pub fn heal(&mut self) -> Result<(), Violation> {
         self.store.down = false;
-        self.store.lose = 0;
-        self.net.mend();
+        self.store.lost_replies = 0;
+        self.net.heal_partitions();
         for index in 0..self.processes.len() {
             self.processes[index].paused = false;
-            // A side process that left is followed by another one.
-            let left = matches!(&self.processes[index].reducer, Some(Reducer::Side(_)));
-            if left || self.processes[index].reducer.is_none() {
-                if left {
+            // A side process may have left; it is replaced by a new one.
+            let is_side = matches!(&self.processes[index].reducer, Some(Reducer::Side(_)));
+            if is_side || self.processes[index].reducer.is_none() {
+                if is_side {
                     self.crash(index);
                 }
-                self.calm(20);
+                self.run_without_faults(20);
                 self.start(index);
             }
         }
-        self.calm(300);
+        self.run_without_faults(300);
         for round in 0..60_u16 {
             for program in 0..PROGRAMS as u16 {
-                self.step(Action::Call(next_call(program + round * PROGRAMS as u16)))?;
+                self.step(Action::Call(call_pick(program + round * PROGRAMS as u16)))?;
             }
-            self.calm(15);
+            self.run_without_faults(15);
             self.report()?;
         }
-        self.calm(200);
+        self.run_without_faults(200);
         self.report()?;
         if !self.callers.waiting.is_empty() {
-            return Err(format!("calls_end: {:?} wait", self.callers.waiting));
+            return Err(format!("calls_end: no reply to {:?}", self.callers.waiting));
         }
         invariant::newest_everywhere(self, Version(self.version))?;
         let busy: BTreeSet<&NodeId> = self
@@ -729,7 +735,7 @@
         if busy.is_empty() {
             Ok(())
         } else {
-            Err(format!("work_ends: {busy:?} are busy"))
+            Err(format!("work_ends: {busy:?} still have calls"))
         }
     }
 }
