--- a/lib/src/guard.rs
+++ b/lib/src/guard.rs
@@ -1,5 +1,5 @@
-//! How a side process guards its server: each attempt runs at most once,
-//! former owners are refused, and an owner that asks hears what became of it.
+//! Orders of a side process: runs each attempt at most once, rejects orders of
+//! previous shard owners, and reports the status of an attempt to its owner.
 
 use crate::code::Code;
 use crate::effect::Effect;
@@ -16,24 +16,25 @@
 use crate::queue::LeastAttained;
 use crate::queue::Ordering;
 use crate::queue::Waiting;
-use crate::side::Key;
-use crate::side::Record;
+use crate::side::AttemptKey;
+use crate::side::AttemptRecord;
+use crate::side::AttemptState;
 use crate::side::Side;
-use crate::side::State;
-use crate::side::refuse;
+use crate::side::refuse_order;
 use crate::side::send;
 use crate::time::Time;
 
-/// Records of calls that are held at once.
+/// Most attempt records held at once; further orders are refused.
 const MAX_RECORDS: usize = 100_000;
-/// Calls that wait at once.
+/// Most calls queued at once; further orders are refused.
 const MAX_QUEUE: usize = 1_024;
 
 impl Side {
-    /// Returns whether an owner of this epoch may still give orders, and
-    /// refuses all earlier ones from now on.
-    pub(crate) fn admits(&mut self, shard: Option<(ShardId, Epoch)>) -> bool {
-        shard.is_none_or(|(shard, epoch)| self.keeper.raise(shard, epoch))
+    /// Returns whether orders of an owner with this epoch are accepted, that is
+    /// whether no higher epoch of the shard is known. Orders with an earlier
+    /// epoch are rejected from now on.
+    pub(crate) fn accept_epoch(&mut self, shard: Option<(ShardId, Epoch)>) -> bool {
+        shard.is_none_or(|(shard, epoch)| self.keeper.raise_fence(shard, epoch))
     }
 
     pub(crate) fn order(
@@ -44,13 +45,13 @@
         out: &mut Vec<Effect>,
     ) {
         let key = (order.call, order.attempt);
-        let admitted = self.admits(order.shard);
+        let accepted = self.accept_epoch(order.shard);
         let fault = if order.boot != self.boot {
             Some(OrderFault::OtherBoot)
-        } else if !admitted {
+        } else if !accepted {
             Some(OrderFault::Fenced)
         } else if self.records.contains_key(&key) {
-            self.known(from, key, out);
+            self.report_attempt(from, key, out);
             return;
         } else if self.leaving {
             Some(OrderFault::Leaving)
@@ -60,7 +61,7 @@
             None
         };
         if let Some(fault) = fault {
-            refuse(from, key, fault, out);
+            refuse_order(from, key, fault, out);
             return;
         }
         let deadline = now + order.patience;
@@ -80,27 +81,28 @@
                 .map(|t| t.text.len() as u64 / 4)
                 .sum::<u64>();
         self.tokens += tokens;
-        let record = Record {
+        let record = AttemptRecord {
             program: order.program,
             idempotent: order.idempotent,
             model: false,
             owner: from.clone(),
-            state: State::Queued { order, deadline },
+            state: AttemptState::Queued { order, deadline },
             tokens,
             since: now,
         };
         self.records.insert(key, record);
     }
 
-    /// Tells an owner what there is of an attempt, and sends it what follows.
-    fn known(&mut self, from: &NodeId, key: Key, out: &mut Vec<Effect>) {
+    /// Sends the status of an attempt and its answer so far to `from`, which
+    /// also receives the rest of the answer from now on.
+    fn report_attempt(&mut self, from: &NodeId, key: AttemptKey, out: &mut Vec<Effect>) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
         let (call, attempt) = key;
         record.owner = from.clone();
         let standing = match &record.state {
-            State::Done(outcome) => {
+            AttemptState::Done(outcome) => {
                 let outcome = outcome.clone();
                 let message = Message::OrderDone {
                     call,
@@ -110,8 +112,8 @@
                 send(from, message, out);
                 return;
             }
-            State::Sealed => Standing::Sealed,
-            State::Queued { .. } | State::Running { .. } => Standing::Open,
+            AttemptState::Sealed => Standing::Sealed,
+            AttemptState::Queued { .. } | AttemptState::Running { .. } => Standing::Open,
         };
         send(
             from,
@@ -122,7 +124,7 @@
             },
             out,
         );
-        if let State::Running { bytes, .. } = &record.state {
+        if let AttemptState::Running { bytes, .. } = &record.state {
             let bytes = bytes.clone();
             let message = Message::OrderChunk {
                 call,
@@ -140,11 +142,11 @@
         from: &NodeId,
         shard: Option<(ShardId, Epoch)>,
         boot: Boot,
-        key: Key,
+        key: AttemptKey,
         out: &mut Vec<Effect>,
     ) {
-        if !self.admits(shard) {
-            // A later owner asks for itself.
+        if !self.accept_epoch(shard) {
+            // The current owner sends its own request.
             return;
         }
         let (call, attempt) = key;
@@ -158,47 +160,48 @@
             send(from, message, out);
             return;
         }
-        self.records.entry(key).or_insert_with(|| Record {
+        self.records.entry(key).or_insert_with(|| AttemptRecord {
             program: ProgramId::of_single(call),
             idempotent: false,
             model: false,
             owner: from.clone(),
-            state: State::Sealed,
+            state: AttemptState::Sealed,
             tokens: 0,
             since: now,
         });
-        self.known(from, key, out);
+        self.report_attempt(from, key, out);
     }
 
-    /// Stops an attempt for an owner that may still give orders.
+    /// Cancels an attempt if the owner that asks for it is not fenced off.
     pub(crate) fn cancel_for(
         &mut self,
         now: Time,
         shard: Option<(ShardId, Epoch)>,
-        key: Key,
+        key: AttemptKey,
         out: &mut Vec<Effect>,
     ) {
-        if self.admits(shard) {
+        if self.accept_epoch(shard) {
             self.cancel(now, key, Code::Cancelled, out);
         }
     }
 
-    /// Stops an attempt that waits or runs.
-    pub(crate) fn cancel(&mut self, now: Time, key: Key, code: Code, out: &mut Vec<Effect>) {
+    /// Cancels a queued or running attempt. If it runs and is not idempotent,
+    /// its outcome is unknown.
+    pub(crate) fn cancel(&mut self, now: Time, key: AttemptKey, code: Code, out: &mut Vec<Effect>) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
         let (call, attempt) = key;
         match &record.state {
-            State::Queued { .. } => {
-                record.state = State::Sealed;
+            AttemptState::Queued { .. } => {
+                record.state = AttemptState::Sealed;
                 record.since = now;
                 let owner = record.owner.clone();
                 self.tokens = self.tokens.saturating_sub(record.tokens);
                 self.queue.remove(key);
-                refuse(&owner, key, OrderFault::Late, out);
+                refuse_order(&owner, key, OrderFault::Late, out);
             }
-            State::Running { .. } => {
+            AttemptState::Running { .. } => {
                 let code = if record.idempotent {
                     code
                 } else {
@@ -207,12 +210,12 @@
                 out.push(Effect::Abort { call, attempt });
                 self.end(now, key, Outcome::refused(code), out);
             }
-            State::Done(_) | State::Sealed => {}
+            AttemptState::Done(_) | AttemptState::Sealed => {}
         }
     }
 
-    pub(crate) fn forget(&mut self, key: Key) {
-        let done = |record: &Record| matches!(record.state, State::Done(_));
+    pub(crate) fn forget(&mut self, key: AttemptKey) {
+        let done = |record: &AttemptRecord| matches!(record.state, AttemptState::Done(_));
         if self.records.get(&key).is_some_and(done) {
             self.records.remove(&key);
         }
--- a/lib/src/keeper.rs
+++ b/lib/src/keeper.rs
@@ -1,4 +1,4 @@
-//! The second copies of shards that a side process holds.
+//! Copies of shards that a side process stores as their keeper.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,18 @@
 
 /// The copy of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct ShardCopy {
     epoch: Epoch,
     complete: bool,
     seq: u64,
     programs: BTreeMap<ProgramId, ProgramCopy>,
 }
 
-/// One change of the copies, as a data folder stores it. Handling a stored
-/// run of them again leads to the same copies.
+/// One change of the shard copies as written to the data folder. Replaying the
+/// records in order restores the copies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyRecord {
-    /// A change of the owner was taken.
+    /// A change from the shard's owner was applied.
     Keep {
         /// The shard.
         shard: ShardId,
@@ -37,7 +37,7 @@
         /// The change.
         change: Change,
     },
-    /// The copy was handed to an owner.
+    /// The copy was sent to a new owner.
     Adopt {
         /// The shard.
         shard: ShardId,
@@ -46,53 +46,55 @@
         /// Epoch at which this keeper was chosen.
         chosen: Epoch,
     },
-    /// Another process keeps the shard now.
+    /// Another process is the shard's keeper now.
     Drop {
         /// The shard.
         shard: ShardId,
     },
-    /// The copy as it stands, which replaces what was there.
+    /// A snapshot of the copy, which replaces any earlier one.
     Whole {
         /// The shard.
         shard: ShardId,
         /// The copy.
-        kept: Kept,
+        kept: ShardCopy,
     },
 }
 
-/// The copies that a side process holds, and the epochs that it has heard of.
+/// The shard copies of a side process, and the highest epoch known of each
+/// shard.
 #[derive(Clone, Debug, Default)]
 pub struct Keeper {
     fences: BTreeMap<ShardId, Epoch>,
-    shards: BTreeMap<ShardId, Kept>,
+    shards: BTreeMap<ShardId, ShardCopy>,
 }
 
 impl Keeper {
-    /// Returns the highest epoch that is known of `shard`.
+    /// Returns the highest known epoch of `shard`; lower ones are rejected.
     pub fn fence(&self, shard: ShardId) -> Epoch {
         self.fences.get(&shard).copied().unwrap_or_default()
     }
 
-    /// Refuses everything below `epoch` from now on; returns whether `epoch`
-    /// itself is not below.
-    pub fn raise(&mut self, shard: ShardId, epoch: Epoch) -> bool {
+    /// Rejects all epochs of `shard` below `epoch` from now on. Returns whether
+    /// `epoch` itself is accepted, that is, no higher epoch is known.
+    pub fn raise_fence(&mut self, shard: ShardId, epoch: Epoch) -> bool {
         let fence = self.fences.entry(shard).or_default();
         *fence = (*fence).max(epoch);
         *fence == epoch
     }
 
-    /// Returns the number of programs held.
+    /// Returns the number of programs in all copies.
     pub fn programs(&self) -> usize {
         self.shards.values().map(|kept| kept.programs.len()).sum()
     }
 
-    /// Returns the bytes of all histories held.
+    /// Returns the total size of all histories, in bytes.
     pub fn bytes(&self) -> usize {
         let programs = self.shards.values().flat_map(|kept| kept.programs.values());
         programs.map(|copy| copy.history.size()).sum()
     }
 
-    /// Takes a change of the owner under `epoch`.
+    /// Applies the change numbered `seq` of the owner with `epoch`. Returns the
+    /// number of the last change applied; a change applied before is ignored.
     ///
     /// # Errors
     ///
@@ -105,7 +107,7 @@
         seq: u64,
         change: Change,
     ) -> Result<u64, KeepFault> {
-        if !self.raise(shard, epoch) {
+        if !self.raise_fence(shard, epoch) {
             return Err(KeepFault::Fenced);
         }
         let kept = self.shards.entry(shard).or_default();
@@ -113,10 +115,10 @@
             if kept.epoch == epoch && seq <= kept.seq {
                 return Ok(kept.seq);
             }
-            *kept = Kept {
+            *kept = ShardCopy {
                 epoch,
                 seq,
-                ..Kept::default()
+                ..ShardCopy::default()
             };
             return Ok(seq);
         }
@@ -134,10 +136,10 @@
         Ok(seq)
     }
 
-    /// Hands the copy of `shard` to the owner of `epoch`, and refuses every
-    /// earlier owner from now on. `chosen` is the epoch at which this keeper
-    /// was chosen. Returns no copy if there is no complete one that is as
-    /// young.
+    /// Returns the copy of `shard`, with the number of its last change, for the
+    /// new owner with `epoch`, and rejects every earlier owner from now on.
+    /// `chosen` is the epoch at which this process became the keeper. Returns
+    /// `None` if the copy is incomplete or older than `chosen`.
     ///
     /// # Errors
     ///
@@ -148,7 +150,7 @@
         epoch: Epoch,
         chosen: Epoch,
     ) -> Result<Option<(u64, Vec<ProgramCopy>)>, KeepFault> {
-        if !self.raise(shard, epoch) {
+        if !self.raise_fence(shard, epoch) {
             return Err(KeepFault::Fenced);
         }
         let Some(kept) = self.shards.get_mut(&shard) else {
@@ -161,18 +163,24 @@
         Ok(Some((kept.seq, kept.programs.values().cloned().collect())))
     }
 
-    /// Drops the copies of shards that `is_ours` says another keeps now, and
-    /// returns those shards.
-    pub fn drop_others(&mut self, is_ours: impl Fn(ShardId, Epoch) -> bool) -> Vec<ShardId> {
-        let others = self.shards.iter().filter(|(s, k)| !is_ours(**s, k.epoch));
-        let dropped: Vec<ShardId> = others.map(|(shard, _)| *shard).collect();
+    /// Drops the copies for which `is_assigned` returns false, given the shard
+    /// and the copy's epoch. Returns the shards that were dropped.
+    pub fn drop_unassigned(
+        &mut self,
+        is_assigned: impl Fn(ShardId, Epoch) -> bool,
+    ) -> Vec<ShardId> {
+        let unassigned = self
+            .shards
+            .iter()
+            .filter(|(s, k)| !is_assigned(**s, k.epoch));
+        let dropped: Vec<ShardId> = unassigned.map(|(shard, _)| *shard).collect();
         for shard in &dropped {
             self.shards.remove(shard);
         }
         dropped
     }
 
-    /// Returns the copies as the fewest records that lead to them.
+    /// Returns one snapshot record for each copy.
     pub fn records(&self) -> impl Iterator<Item = CopyRecord> {
         self.shards.iter().map(|(shard, kept)| CopyRecord::Whole {
             shard: *shard,
@@ -180,9 +188,9 @@
         })
     }
 
-    /// Handles a record again that an earlier life of the process stored.
+    /// Applies a record that was written by a previous run of the process.
     pub fn replay(&mut self, record: CopyRecord) {
-        // A record was stored because it was taken; none is refused now.
+        // Only accepted changes are written, so none is refused now.
         match record {
             CopyRecord::Keep {
                 shard,
@@ -203,13 +211,13 @@
                 self.shards.remove(&shard);
             }
             CopyRecord::Whole { shard, kept } => {
-                self.raise(shard, kept.epoch);
+                self.raise_fence(shard, kept.epoch);
                 self.shards.insert(shard, kept);
             }
         }
     }
 
-    /// Checks the digest chain of every history.
+    /// Verifies the digest chain of every history.
     ///
     /// # Errors
     ///
@@ -223,7 +231,7 @@
     }
 }
 
-impl Kept {
+impl ShardCopy {
     fn apply(&mut self, change: Change) {
         match change {
             Change::Begin | Change::Probe => {}
--- a/lib/src/keeping.rs
+++ b/lib/src/keeping.rs
@@ -1,4 +1,5 @@
-//! What the owner sends its keeper, and what waits for the keeper's word.
+//! Replication of an owner's shards to their keepers, and the steps that wait
+//! for a keeper's acknowledgement.
 
 use crate::budget::Budget;
 use crate::code::Code;
@@ -28,7 +29,7 @@
 use crate::program::ProgramCopy;
 
 impl Owner {
-    /// Sends a change to the keeper and returns its number.
+    /// Sends a change to the shard's keeper and returns the change's number.
     pub(crate) fn keep(&mut self, cx: &mut Context<'_>, shard: ShardId, change: Change) -> u64 {
         let Some(held) = self.shards.get_mut(&shard) else {
             return 0;
@@ -36,7 +37,8 @@
         held.seq += 1;
         held.waiting.get_or_insert(cx.now);
         if held.unkept.len() >= MAX_UNKEPT {
-            // The keeper finds the gap when it is back and gets everything.
+            // Once the keeper is reachable, it detects the gap and is sent the
+            // whole shard.
             held.unkept.clear();
             held.gap = true;
         }
@@ -56,6 +58,7 @@
         held.seq
     }
 
+    /// Replicates the state of a program without its calls and messages.
     pub(crate) fn keep_head(&mut self, cx: &mut Context<'_>, id: ProgramId) -> u64 {
         let Some(program) = self.programs.get(&id) else {
             return 0;
@@ -64,26 +67,27 @@
         self.keep(cx, id.shard(cx.rules.shards), change)
     }
 
-    /// Returns the budgets of the programs above one.
+    /// Returns the budgets of a program's ancestors.
     pub(crate) fn budgets_above(&self, id: ProgramId) -> Vec<(ProgramId, Budget)> {
         let line = self.line(id).into_iter().skip(1);
         line.filter_map(|id| Some((id, self.programs.get(&id)?.copy.head.budget)))
             .collect()
     }
 
+    /// Runs `step` once the keeper has acknowledged change `seq`.
     pub(crate) fn after(&mut self, cx: &mut Context<'_>, shard: ShardId, seq: u64, step: Step) {
         let Some(held) = self.shards.get_mut(&shard) else {
             return;
         };
-        let safe = !held.gap && held.unkept.front().is_none_or(|(first, _)| *first > seq);
-        if safe {
-            self.take_step(cx, step);
+        let acknowledged = !held.gap && held.unkept.front().is_none_or(|(first, _)| *first > seq);
+        if acknowledged {
+            self.run_step(cx, step);
         } else {
             held.steps.push_back((seq, step));
         }
     }
 
-    pub(crate) fn take_step(&mut self, cx: &mut Context<'_>, step: Step) {
+    pub(crate) fn run_step(&mut self, cx: &mut Context<'_>, step: Step) {
         match step {
             Step::Dispatch(call) => self.dispatch(cx, call),
             Step::Finish(call) => {
@@ -92,17 +96,17 @@
             }
             Step::Refuse(watcher, refusal) => reply(cx, &watcher, Reply::Refused(refusal)),
             Step::Answer(watcher, program, part) => {
-                let word = match self.programs.get(&program) {
+                let message = match self.programs.get(&program) {
                     Some(program) => Reply::Program(Box::new(view(&program.copy, part))),
                     None => Reply::Refused(Refusal::new(Code::ProgramUnknown)),
                 };
-                reply(cx, &watcher, word);
+                reply(cx, &watcher, message);
             }
         }
     }
 
-    /// Lets the server that ran a call forget it, since two copies of the
-    /// outcome exist.
+    /// Tells the side process that ran a call to drop its record, since owner
+    /// and keeper both have the outcome.
     pub(crate) fn forget_done(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -113,6 +117,7 @@
         }
     }
 
+    /// Handles a keeper's acknowledgement of all changes up to `seq`.
     pub(crate) fn kept(
         &mut self,
         cx: &mut Context<'_>,
@@ -136,12 +141,12 @@
             ready.extend(held.steps.pop_front().map(|(_, step)| step));
         }
         for step in ready {
-            self.take_step(cx, step);
+            self.run_step(cx, step);
         }
     }
 
-    /// Handles a keeper's refusal: fills its gap, or gives the shard up to
-    /// the owner of the higher epoch.
+    /// Handles a keeper's refusal: sends it the whole shard if it lacks changes,
+    /// or releases the shard if an owner with a higher epoch exists.
     pub(crate) fn keep_refused(
         &mut self,
         cx: &mut Context<'_>,
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Sends everything to the keeper anew, since it lacks what went before.
+    /// Sends the whole shard to the keeper, replacing its copy.
     pub(crate) fn fill(&mut self, cx: &mut Context<'_>, shard: ShardId) {
         let count = cx.rules.shards;
         let copies: Vec<ProgramCopy> = self
@@ -183,7 +188,7 @@
             self.keep(cx, shard, Change::Program(Box::new(copy)));
         }
         let seq = self.keep(cx, shard, Change::Complete);
-        // What waited for an earlier change now waits for the whole.
+        // Steps that waited for an earlier change now wait for the whole copy.
         if let Some(held) = self.shards.get_mut(&shard) {
             for step in &mut held.steps {
                 step.0 = seq;
@@ -191,6 +196,7 @@
         }
     }
 
+    /// Sends all unacknowledged changes of a shard to its keeper again.
     pub(crate) fn resend_unkept(&self, cx: &mut Context<'_>, shard: ShardId, held: &Held) {
         let Some(keeper) = &held.keeper else {
             return;
@@ -206,11 +212,13 @@
         }
     }
 
-    /// While no keeper answers and none can be chosen, lets idempotent calls
-    /// without a program go on, and refuses to start others: what only one
-    /// process knows of a program would be lost with it. Who opens, reads or
-    /// ends a program is told to come back. Calls that ran wait for a keeper,
-    /// since their end must not be told before it is safe.
+    /// Handles the shards whose changes have gone unacknowledged for too long
+    /// because no keeper answers and none can be chosen. Idempotent calls
+    /// without a program proceed. Other calls are not started, because program
+    /// state that only this process holds would be lost with it. Requests to
+    /// open, read or end a program are refused, to be retried later. Calls that
+    /// ran wait for a keeper, since an outcome must not be reported before it is
+    /// replicated.
     pub(crate) fn go_on_alone(&mut self, cx: &mut Context<'_>) {
         let stuck: Vec<ShardId> = self
             .shards
@@ -224,12 +232,12 @@
             };
             let steps = std::mem::take(&mut held.steps);
             for (seq, step) in steps {
-                self.step_alone(cx, shard, seq, step);
+                self.run_step_without_keeper(cx, shard, seq, step);
             }
         }
     }
 
-    pub(crate) fn step_alone(
+    pub(crate) fn run_step_without_keeper(
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
@@ -240,14 +248,15 @@
             Step::Dispatch(id) | Step::Finish(id) => self.calls.get_mut(id),
             Step::Refuse(..) | Step::Answer(..) => None,
         };
-        let harmless = |call: &Call| call.program.is_single() && call.record.idempotent;
+        let repeatable = |call: &Call| call.program.is_single() && call.record.idempotent;
         match (step, call) {
-            (step, Some(call)) if harmless(call) => self.take_step(cx, step),
+            (step, Some(call)) if repeatable(call) => self.run_step(cx, step),
             (Step::Dispatch(id), Some(_)) => {
                 self.conclude(cx, id, Outcome::refused(Code::NoServer));
             }
             (Step::Finish(id), Some(call)) if call.is_refused() => {
-                // Without the keeper's word, nobody can say "not run".
+                // "Not run" may only be reported once the keeper has recorded
+                // it.
                 let outcome = Outcome::refused(Code::NoKeeper);
                 call.state = State::Recording { outcome };
                 self.finish(cx, id);
--- a/lib/src/side.rs
+++ b/lib/src/side.rs
@@ -1,6 +1,6 @@
-//! The reducer of a side process: the only way to its backend server. It
-//! runs each attempt at most once, refuses former owners, and keeps second
-//! copies of shards.
+//! State machine of a side process. All calls to a backend server pass through
+//! its side process, which runs each attempt at most once, rejects orders of
+//! previous shard owners, and stores the keeper's copies of shards.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,41 +37,41 @@
 use crate::speed::Speed;
 use crate::time::Time;
 
-/// Time between two messages about oneself to each peer.
-const BEAT: Duration = Duration::from_secs(1);
-/// Time between two looks for what is over its time.
-const SWEEP: Duration = Duration::from_millis(500);
-/// How long the outcome of a non-idempotent call is held for an owner that
-/// has not confirmed it.
-const HOLD: Duration = Duration::from_secs(24 * 3600);
-/// Slots of a server that no document names.
+/// Interval between heartbeats to each peer.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between checks for expired calls, records and caches.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the outcome of a non-idempotent call is retained if its owner does
+/// not confirm that it has recorded it.
+const UNCONFIRMED_RETENTION: Duration = Duration::from_secs(24 * 3600);
+/// Slots of a server that no document lists.
 const DEFAULT_SLOTS: u32 = 8;
 
-/// Names one run of a call: the call and its attempt.
-pub(crate) type Key = (CallId, u64);
+/// Identifies one attempt at a call: the ids of call and attempt.
+pub(crate) type AttemptKey = (CallId, u64);
 
 /// How a request to the backend server ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendEnd {
-    /// It answered.
+    /// It returned a complete answer.
     Answer(Answer),
-    /// It broke off, or gave no whole answer.
+    /// The connection failed, or the answer was incomplete.
     Failed,
-    /// It took no connection; not a byte was sent.
+    /// No connection could be opened; no byte of the request was sent.
     Unreachable,
 }
 
-/// What can happen to a side process.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message of an entry came.
+    /// A message from an entry was received.
     Message {
         /// The entry.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// A link was made.
+    /// A link to another process was established.
     LinkUp {
         /// The other process.
         node: NodeId,
@@ -81,7 +81,7 @@
         /// The other process.
         node: NodeId,
     },
-    /// A shard block was read, at the start.
+    /// A shard block was read at start-up.
     Block {
         /// Number of the block.
         block: u16,
@@ -90,7 +90,7 @@
         /// Its value.
         value: Block,
     },
-    /// The backend server sent a piece of an answer.
+    /// The backend server sent part of an answer.
     BackendChunk {
         /// The call.
         call: CallId,
@@ -99,7 +99,7 @@
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// The backend server ended a call.
+    /// The request to the backend server ended.
     BackendDone {
         /// The call.
         call: CallId,
@@ -108,29 +108,38 @@
         /// How it ended.
         end: BackendEnd,
     },
-    /// Time passed.
+    /// Periodic timer.
     Tick,
-    /// The server is about to go: no new work.
+    /// The server is shutting down: accept no new work.
     Leave,
 }
 
+/// State of an attempt.
 #[derive(Debug)]
-pub(crate) enum State {
-    Queued { order: Box<Order>, deadline: Time },
-    Running { bytes: Vec<u8>, limit: Time },
+pub(crate) enum AttemptState {
+    Queued {
+        order: Box<Order>,
+        deadline: Time,
+    },
+    Running {
+        bytes: Vec<u8>,
+        deadline: Time,
+    },
     Done(Outcome),
+    /// It did not run; an order for it is not accepted any more.
     Sealed,
 }
 
 #[derive(Debug)]
-pub(crate) struct Record {
+pub(crate) struct AttemptRecord {
     pub(crate) program: ProgramId,
     pub(crate) idempotent: bool,
-    /// Whether it runs, or ran, at a model.
+    /// Whether it was started as a model call.
     pub(crate) model: bool,
     pub(crate) owner: NodeId,
-    pub(crate) state: State,
+    pub(crate) state: AttemptState,
     pub(crate) tokens: u64,
+    /// When it was queued, or when it became `Done` or `Sealed`.
     pub(crate) since: Time,
 }
 
@@ -143,27 +152,29 @@
     pub(crate) map: ShardMap,
     pub(crate) documents: Documents,
     pub(crate) keeper: Keeper,
-    /// Whether changes of the copies are stored.
-    pub(crate) stores: bool,
-    pub(crate) records: BTreeMap<Key, Record>,
-    pub(crate) queue: Queue<Key>,
+    /// Whether changes of the shard copies are written to disk.
+    pub(crate) persistent: bool,
+    pub(crate) records: BTreeMap<AttemptKey, AttemptRecord>,
+    pub(crate) queue: Queue<AttemptKey>,
     pub(crate) running: u32,
-    /// Calls of models among those that run.
-    pub(crate) models: u32,
+    /// Number of running calls that are model calls.
+    pub(crate) model_calls: u32,
     pub(crate) tokens: u64,
     pub(crate) speed: Speed,
-    /// Since when `running` calls have run, as far as it was noted.
-    pub(crate) noted: Time,
+    /// Time up to which the running time of model calls has been added to
+    /// `speed`.
+    pub(crate) speed_updated: Time,
     pub(crate) peers: BTreeSet<NodeId>,
-    /// When each program with cache on the server was heard of last.
+    /// Programs that may have cache on the server, with the start or end of
+    /// their last call.
     pub(crate) cached: BTreeMap<ProgramId, Time>,
-    pub(crate) beat: Option<Time>,
-    pub(crate) swept: Time,
+    pub(crate) last_heartbeat: Option<Time>,
+    pub(crate) last_sweep: Time,
     pub(crate) leaving: bool,
 }
 
 impl Side {
-    /// Makes the side process of an idle server.
+    /// Creates the state of a side process whose server is idle.
     pub fn new(node: NodeId, boot: Boot, rules: Rules) -> Self {
         Self {
             map: ShardMap::new(rules.shards),
@@ -172,43 +183,44 @@
             rules,
             documents: Documents::default(),
             keeper: Keeper::default(),
-            stores: false,
+            persistent: false,
             records: BTreeMap::new(),
             queue: Queue::default(),
             running: 0,
-            models: 0,
+            model_calls: 0,
             tokens: 0,
             speed: Speed::default(),
-            noted: Time::default(),
+            speed_updated: Time::default(),
             peers: BTreeSet::new(),
             cached: BTreeMap::new(),
-            beat: None,
-            swept: Time::default(),
+            last_heartbeat: None,
+            last_sweep: Time::default(),
             leaving: false,
         }
     }
 
-    /// Takes over the copies that an earlier life stored, and stores every
-    /// change from now on. A copy is of use only if it lacks nothing that was
-    /// acknowledged.
+    /// Restores the shard copies from the records that a previous run of this
+    /// process wrote to disk, and writes every later change to disk. The
+    /// records must include every acknowledged change: a copy that lacks one
+    /// is unusable.
     pub fn recover(&mut self, records: impl IntoIterator<Item = CopyRecord>) {
-        self.stores = true;
+        self.persistent = true;
         for record in records {
             self.keeper.replay(record);
         }
     }
 
-    /// Returns the second copies that it holds.
+    /// Returns the shard copies that this process holds as keeper.
     pub fn keeper(&self) -> &Keeper {
         &self.keeper
     }
 
-    /// Returns the settings in force.
+    /// Returns the operators' documents in force.
     pub fn documents(&self) -> &Documents {
         &self.documents
     }
 
-    /// Returns its load.
+    /// Returns the load of the backend server.
     pub fn load(&self) -> Load {
         Load {
             running: self.running,
@@ -218,34 +230,35 @@
         }
     }
 
-    /// Returns how many programs may have cache on the server.
+    /// Returns the number of programs that may have cache on the server.
     pub fn programs_cached(&self) -> usize {
         self.cached.len()
     }
 
-    /// Returns the number of records of calls.
+    /// Returns the number of attempt records.
     pub fn records(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether nothing keeps it from exiting: no call runs or waits
-    /// for its owner to know the end, and no shard names it as its keeper.
+    /// Returns whether the process may exit: no call is queued or running, no
+    /// outcome is unconfirmed by its owner, and no shard has this process as
+    /// its keeper.
     pub fn is_idle(&self) -> bool {
         let keeps = self
             .map
             .iter()
             .any(|(_, assignment)| assignment.keeper.as_ref() == Some(&self.node));
-        let sealed = |record: &Record| matches!(record.state, State::Sealed);
+        let sealed = |record: &AttemptRecord| matches!(record.state, AttemptState::Sealed);
         !keeps && self.running == 0 && self.records.values().all(sealed)
     }
 
-    /// Handles an event and adds what is to be done to `out`.
+    /// Handles an event and appends the resulting effects to `out`.
     pub fn step(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
-            Event::Message { from, message } => self.message(now, &from, message, out),
+            Event::Message { from, message } => self.handle_message(now, &from, message, out),
             Event::LinkUp { node } => {
                 self.peers.insert(node.clone());
-                self.send_beat(&node, out);
+                self.send_heartbeat(&node, out);
             }
             Event::LinkDown { node } => {
                 self.peers.remove(&node);
@@ -254,7 +267,7 @@
                 block,
                 revision,
                 value,
-            } => self.learn(block, revision, &value, out),
+            } => self.update_assignments(block, revision, &value, out),
             Event::BackendChunk {
                 call,
                 attempt,
@@ -269,15 +282,21 @@
         self.start_next(now, out);
     }
 
-    fn message(&mut self, now: Time, from: &NodeId, message: Message, out: &mut Vec<Effect>) {
+    fn handle_message(
+        &mut self,
+        now: Time,
+        from: &NodeId,
+        message: Message,
+        out: &mut Vec<Effect>,
+    ) {
         match message {
-            Message::Beat(beat) => self.answer_beat(from, &beat, out),
-            Message::Document(text) => self.document(&text, out),
+            Message::Beat(beat) => self.handle_heartbeat(from, &beat, out),
+            Message::Document(text) => self.update_document(&text, out),
             Message::Block {
                 block,
                 revision,
                 value,
-            } => self.learn(block, revision, &value, out),
+            } => self.update_assignments(block, revision, &value, out),
             Message::Adopt {
                 shard,
                 epoch,
@@ -303,14 +322,14 @@
             } => self.cancel_for(now, shard, (call, attempt), out),
             Message::Forget { call, attempt } => self.forget((call, attempt)),
             Message::Release { program } => self.release_cache(program, out),
-            // The rest is for entries.
+            // Other messages are addressed to entries only.
             _ => {}
         }
     }
 
-    // Settings and assignments.
+    // Documents, shard assignments and shard copies.
 
-    fn document(&mut self, text: &str, out: &mut Vec<Effect>) {
+    fn update_document(&mut self, text: &str, out: &mut Vec<Effect>) {
         if let Update::Applied(version) = self.documents.update(text) {
             out.push(Effect::Note(
                 Note::new("document_applied").with("version", version),
@@ -318,14 +337,20 @@
         }
     }
 
-    fn learn(&mut self, block: u16, revision: u64, value: &Block, out: &mut Vec<Effect>) {
+    fn update_assignments(
+        &mut self,
+        block: u16,
+        revision: u64,
+        value: &Block,
+        out: &mut Vec<Effect>,
+    ) {
         for shard in self.map.update(block, revision, value) {
             if let Some(assignment) = self.map.get(shard) {
-                self.keeper.raise(shard, assignment.epoch);
+                self.keeper.raise_fence(shard, assignment.epoch);
             }
         }
         let (map, node) = (&self.map, &self.node);
-        let dropped = self.keeper.drop_others(|shard, epoch| {
+        let dropped = self.keeper.drop_unassigned(|shard, epoch| {
             map.get(shard).is_none_or(|assignment| {
                 assignment.keeper.as_ref() == Some(node) || epoch > assignment.epoch
             })
@@ -335,15 +360,16 @@
         }
     }
 
-    /// Has a change of the copies stored, if there is a place for it.
+    /// Writes a change of the shard copies to disk if this process has a data
+    /// folder.
     fn store(&self, record: impl FnOnce() -> CopyRecord, out: &mut Vec<Effect>) {
-        if self.stores {
+        if self.persistent {
             out.push(Effect::Store(Box::new(record())));
         }
     }
 
-    /// Takes a change of a shard's owner; it is stored before it is
-    /// acknowledged.
+    /// Applies a change from a shard's owner; the change is written to disk
+    /// before it is acknowledged.
     fn keep(
         &mut self,
         from: &NodeId,
@@ -353,7 +379,7 @@
         change: Change,
         out: &mut Vec<Effect>,
     ) {
-        let copy = self.stores.then(|| change.clone());
+        let copy = self.persistent.then(|| change.clone());
         let message = match self.keeper.keep(shard, epoch, seq, change) {
             Ok(kept) => {
                 if let Some(change) = copy {
@@ -417,7 +443,7 @@
         }
     }
 
-    // The backend server.
+    // Calls to the backend server.
 
     fn slots(&self) -> u32 {
         self.documents
@@ -434,32 +460,34 @@
         }
     }
 
-    /// Notes for how long calls of models have run, before that changes.
-    fn note_busy(&mut self, now: Time) {
-        let span = now.since(self.noted);
-        self.noted = now;
-        self.speed.note(span * self.models, 0);
+    /// Adds the running time of model calls since the last update to `speed`.
+    /// Must run before the number of running model calls changes.
+    fn update_speed(&mut self, now: Time) {
+        let span = now.since(self.speed_updated);
+        self.speed_updated = now;
+        self.speed.note(span * self.model_calls, 0);
     }
 
-    fn start(&mut self, now: Time, key: Key, out: &mut Vec<Effect>) {
-        self.note_busy(now);
+    fn start(&mut self, now: Time, key: AttemptKey, out: &mut Vec<Effect>) {
+        self.update_speed(now);
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        let running = State::Running {
+        let running = AttemptState::Running {
             bytes: Vec::new(),
-            limit: now,
+            deadline: now,
         };
-        let State::Queued { order, .. } = std::mem::replace(&mut record.state, running) else {
+        let AttemptState::Queued { order, .. } = std::mem::replace(&mut record.state, running)
+        else {
             return;
         };
-        record.state = State::Running {
+        record.state = AttemptState::Running {
             bytes: Vec::new(),
-            limit: now + order.timeout,
+            deadline: now + order.timeout,
         };
         self.running += 1;
         if matches!(order.target, Target::Model(_)) {
-            self.models += 1;
+            self.model_calls += 1;
             record.model = true;
             self.cached.insert(order.program, now);
         }
@@ -484,30 +512,30 @@
         });
     }
 
-    fn backend_chunk(&mut self, key: Key, fresh: Vec<u8>, out: &mut Vec<Effect>) {
+    fn backend_chunk(&mut self, key: AttemptKey, chunk: Vec<u8>, out: &mut Vec<Effect>) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        let State::Running { bytes, .. } = &mut record.state else {
+        let AttemptState::Running { bytes, .. } = &mut record.state else {
             return;
         };
         self.speed.note(Duration::ZERO, 1);
         let offset = bytes.len() as u64;
-        bytes.extend_from_slice(&fresh);
+        bytes.extend_from_slice(&chunk);
         let message = Message::OrderChunk {
             call: key.0,
             attempt: key.1,
             offset,
-            bytes: fresh,
+            bytes: chunk,
         };
         send(&record.owner, message, out);
     }
 
-    fn backend_done(&mut self, now: Time, key: Key, end: BackendEnd, out: &mut Vec<Effect>) {
+    fn backend_done(&mut self, now: Time, key: AttemptKey, end: BackendEnd, out: &mut Vec<Effect>) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        if !matches!(record.state, State::Running { .. }) {
+        if !matches!(record.state, AttemptState::Running { .. }) {
             return;
         }
         let outcome = match end {
@@ -515,38 +543,44 @@
             BackendEnd::Failed if record.idempotent => Outcome::refused(Code::BackendFailed),
             BackendEnd::Failed => Outcome::refused(Code::OutcomeUnknown),
             BackendEnd::Unreachable => {
-                // Not a byte left: it may run elsewhere, but never here under
-                // this attempt.
-                record.state = State::Sealed;
+                // Nothing was sent, so the owner may run the call elsewhere;
+                // this attempt is never run here.
+                record.state = AttemptState::Sealed;
                 let owner = record.owner.clone();
-                self.stopped(now, key);
-                refuse(&owner, key, OrderFault::Unreachable, out);
+                self.free_slot(now, key);
+                refuse_order(&owner, key, OrderFault::Unreachable, out);
                 return;
             }
         };
         self.end(now, key, outcome, out);
     }
 
-    /// Notes that a call does not run any more.
-    fn stopped(&mut self, now: Time, key: Key) {
-        self.note_busy(now);
+    /// Removes an attempt that no longer runs from the load.
+    fn free_slot(&mut self, now: Time, key: AttemptKey) {
+        self.update_speed(now);
         if let Some(record) = self.records.get(&key) {
             self.running -= 1;
-            self.models -= u32::from(record.model);
+            self.model_calls -= u32::from(record.model);
             self.tokens = self.tokens.saturating_sub(record.tokens);
         }
     }
 
-    pub(crate) fn end(&mut self, now: Time, key: Key, outcome: Outcome, out: &mut Vec<Effect>) {
+    pub(crate) fn end(
+        &mut self,
+        now: Time,
+        key: AttemptKey,
+        outcome: Outcome,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        record.state = State::Done(outcome.clone());
+        record.state = AttemptState::Done(outcome.clone());
         record.since = now;
-        if let Some(heard) = self.cached.get_mut(&record.program) {
-            *heard = now;
+        if let Some(last_used) = self.cached.get_mut(&record.program) {
+            *last_used = now;
         }
-        self.stopped(now, key);
+        self.free_slot(now, key);
         let Some(record) = self.records.get(&key) else {
             return;
         };
@@ -557,32 +591,32 @@
         };
         send(&record.owner, message, out);
         if record.program.is_single() {
-            // Its program ends with the call.
+            // The program consists of this call only, so it has ended.
             let program = record.program;
             self.release_cache(program, out);
         }
     }
 
-    // Time and leaving.
+    // Heartbeats, timers and shutdown.
 
     fn leave(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.leaving = true;
         let peers: Vec<NodeId> = self.peers.iter().cloned().collect();
         for peer in peers {
-            self.send_beat(&peer, out);
+            self.send_heartbeat(&peer, out);
         }
         while let Some(key) = self.queue.pop() {
             let Some(record) = self.records.get_mut(&key) else {
                 continue;
             };
-            record.state = State::Sealed;
+            record.state = AttemptState::Sealed;
             record.since = now;
             self.tokens = self.tokens.saturating_sub(record.tokens);
-            refuse(&record.owner, key, OrderFault::Leaving, out);
+            refuse_order(&record.owner, key, OrderFault::Leaving, out);
         }
     }
 
-    fn send_beat(&self, to: &NodeId, out: &mut Vec<Effect>) {
+    fn send_heartbeat(&self, to: &NodeId, out: &mut Vec<Effect>) {
         let beat = Beat {
             versions: self.documents.versions(),
             blocks: (0..self.map.blocks())
@@ -594,55 +628,58 @@
         send(to, Message::Beat(beat), out);
     }
 
-    /// Passes on what an entry lacks, so that settings reach entries through
-    /// side processes too when the key-value service is out.
-    fn answer_beat(&mut self, from: &NodeId, beat: &Beat, out: &mut Vec<Effect>) {
+    /// Sends an entry the documents that are newer than its own, so that they
+    /// also spread through side processes while the key-value service is down.
+    fn handle_heartbeat(&mut self, from: &NodeId, beat: &Beat, out: &mut Vec<Effect>) {
         for text in self.documents.newer_than(&beat.versions) {
             send(from, Message::Document(text.to_owned()), out);
         }
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.beat.is_none_or(|last| now.since(last) >= BEAT) {
-            self.beat = Some(now);
-            self.note_busy(now);
+        if self
+            .last_heartbeat
+            .is_none_or(|last| now.since(last) >= HEARTBEAT_INTERVAL)
+        {
+            self.last_heartbeat = Some(now);
+            self.update_speed(now);
             let peers: Vec<NodeId> = self.peers.iter().cloned().collect();
             for peer in peers {
-                self.send_beat(&peer, out);
+                self.send_heartbeat(&peer, out);
             }
             self.speed.fade();
         }
-        if now.since(self.swept) >= SWEEP {
-            self.swept = now;
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep(now, out);
         }
     }
 
     fn sweep(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let late: Vec<Key> = self
+        let expired: Vec<AttemptKey> = self
             .records
             .iter()
             .filter(|(_, record)| match &record.state {
-                State::Queued { deadline, .. } => *deadline <= now,
-                State::Running { limit, .. } => *limit <= now,
+                AttemptState::Queued { deadline, .. } => *deadline <= now,
+                AttemptState::Running { deadline, .. } => *deadline <= now,
                 _ => false,
             })
             .map(|(key, _)| *key)
             .collect();
-        for key in late {
+        for key in expired {
             self.cancel(now, key, Code::TimedOut, out);
         }
         let retention = self.rules.retention();
         self.records.retain(|_, record| {
             let age = now.since(record.since);
             match &record.state {
-                State::Done(_) if record.idempotent => age < retention,
-                State::Done(_) => age < HOLD,
-                State::Sealed => age < retention,
+                AttemptState::Done(_) if record.idempotent => age < retention,
+                AttemptState::Done(_) => age < UNCONFIRMED_RETENTION,
+                AttemptState::Sealed => age < retention,
                 _ => true,
             }
         });
-        self.release_silent(now, out);
+        self.release_idle_caches(now, out);
     }
 
     fn release_cache(&mut self, program: ProgramId, out: &mut Vec<Effect>) {
@@ -651,17 +688,17 @@
         }
     }
 
-    /// Releases the cache of programs that nothing was heard of for long:
-    /// their owner and its record of them may be gone.
-    fn release_silent(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Releases the cache of programs that have had no call for the configured
+    /// time: their owner may have failed without sending a release.
+    fn release_idle_caches(&mut self, now: Time, out: &mut Vec<Effect>) {
         let wait = self.rules.cache_wait();
-        let silent: Vec<ProgramId> = self
+        let idle: Vec<ProgramId> = self
             .cached
             .iter()
-            .filter(|(_, heard)| now.since(**heard) >= wait)
+            .filter(|(_, last_used)| now.since(**last_used) >= wait)
             .map(|(program, _)| *program)
             .collect();
-        for program in silent {
+        for program in idle {
             self.cached.remove(&program);
             out.push(Effect::Release { program });
         }
@@ -675,7 +712,7 @@
     });
 }
 
-pub(crate) fn refuse(to: &NodeId, key: Key, fault: OrderFault, out: &mut Vec<Effect>) {
+pub(crate) fn refuse_order(to: &NodeId, key: AttemptKey, fault: OrderFault, out: &mut Vec<Effect>) {
     let message = Message::OrderRefused {
         call: key.0,
         attempt: key.1,
--- a/lib/src/speed.rs
+++ b/lib/src/speed.rs
@@ -1,42 +1,46 @@
-//! How fast a backend server gives its answers, as its side process sees it:
-//! by the pieces that come while calls run, so that a server that slows down
-//! or hangs shows before its calls end, whatever it says of itself.
+//! Answer speed of a backend server, measured by its side process from the
+//! chunks received while calls run. A server that slows down or hangs is thereby
+//! detected before its calls end, independently of what it reports itself.
 
 use std::time::Duration;
 
-/// Share of what was measured that still counts a report later.
-const FADE: f64 = 0.8;
-/// Running time below which nothing is said: too little is known.
-const LEAST: Duration = Duration::from_secs(2);
+/// Factor by which earlier measurements are scaled down at each report.
+const DECAY: f64 = 0.8;
+/// Minimum running time of calls; with less, there is too little data for a
+/// pace.
+const MIN_BUSY: Duration = Duration::from_secs(2);
 
-/// Running time of calls and pieces of answers, the latest counting most.
+/// Running time of calls and number of chunks received, both with exponential
+/// decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Speed {
+    /// Running time, in seconds.
     busy: f64,
-    pieces: f64,
+    chunks: f64,
 }
 
 impl Speed {
-    /// Notes that calls ran for `busy`, added up over them, and gave `pieces`.
-    pub fn note(&mut self, busy: Duration, pieces: u32) {
+    /// Adds `busy`, the running time summed over all calls, and the number of
+    /// chunks received.
+    pub fn note(&mut self, busy: Duration, chunks: u32) {
         self.busy += busy.as_secs_f64();
-        self.pieces += f64::from(pieces);
+        self.chunks += f64::from(chunks);
     }
 
-    /// Lets what was noted so far count less; to be called once a report.
+    /// Scales down all earlier measurements; to be called once per report.
     pub fn fade(&mut self) {
-        self.busy *= FADE;
-        self.pieces *= FADE;
+        self.busy *= DECAY;
+        self.chunks *= DECAY;
     }
 
-    /// Returns the time of a running call for each piece, in microseconds;
-    /// zero while too little is known. A server that nobody uses any more
-    /// becomes unknown, so that it is tried again.
+    /// Returns the running time per chunk, in microseconds, or zero if there is
+    /// too little data. The pace of a server without calls decays to zero, so
+    /// that the server is tried again.
     pub fn pace(&self) -> u32 {
-        if self.busy < LEAST.as_secs_f64() {
+        if self.busy < MIN_BUSY.as_secs_f64() {
             return 0;
         }
-        let micros = self.busy * 1e6 / self.pieces.max(1.0);
+        let micros = self.busy * 1e6 / self.chunks.max(1.0);
         micros.min(f64::from(u32::MAX)) as u32
     }
 }
--- a/lib/tests/speed.rs
+++ b/lib/tests/speed.rs
@@ -1,4 +1,5 @@
-//! Slow and hung servers show by what comes from them, and get less work.
+//! Slow and hung servers are detected by the chunks received from them, and get
+//! fewer calls.
 
 use std::time::Duration;
 
@@ -26,12 +27,13 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-/// Returns the speed after `secs` reports of calls that ran throughout.
-fn measured(calls: u32, pieces: u32, secs: u32) -> Speed {
+/// Returns the speed after `secs` seconds, with one report per second, in which
+/// `calls` ran all the time and `chunks` were received per second.
+fn measured(calls: u32, chunks: u32, secs: u32) -> Speed {
     let mut speed = Speed::default();
     for _ in 0..secs {
         speed.fade();
-        speed.note(Duration::from_secs(1) * calls, pieces);
+        speed.note(Duration::from_secs(1) * calls, chunks);
     }
     speed
 }
@@ -44,7 +46,7 @@
     }
 }
 
-fn chosen(servers: &[ServerView], prompt: u64) -> Option<usize> {
+fn choose(servers: &[ServerView], prompt: u64) -> Option<usize> {
     let call = CallView {
         prompt,
         weights: Weights::default(),
@@ -55,14 +57,14 @@
 }
 
 #[test]
-fn the_pace_is_the_running_time_for_each_piece() {
+fn the_pace_is_the_running_time_per_chunk() {
     let steady = measured(8, 320, 10);
 
     assert_eq!(steady.pace(), 25_000);
 }
 
 #[test]
-fn a_hung_server_shows_before_its_calls_end() {
+fn a_hung_server_is_detected_before_its_calls_end() {
     let mut speed = measured(8, 320, 10);
     for _ in 0..10 {
         speed.fade();
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn a_server_that_nobody_uses_becomes_unknown_and_is_tried_again() {
+fn the_pace_of_an_unused_server_becomes_unknown() {
     let mut speed = measured(8, 32, 10);
     assert!(speed.pace() > 0);
     for _ in 0..20 {
@@ -84,30 +86,30 @@
 }
 
 #[test]
-fn a_slow_server_gets_no_call_while_another_is_free() {
+fn a_slow_server_gets_no_call_while_faster_ones_are_free() {
     let servers = [server(250_000), server(25_000), server(26_000)];
 
     for prompt in [100, 4_000, 20_000] {
-        assert_ne!(chosen(&servers, prompt), Some(0));
+        assert_ne!(choose(&servers, prompt), Some(0));
     }
 }
 
 #[test]
-fn a_program_leaves_its_cache_at_a_server_that_became_slow() {
+fn a_program_moves_away_from_its_cache_on_a_slow_server() {
     let mut slow = server(250_000);
     slow.cached = 20_000;
     let servers = [slow, server(25_000), server(25_000)];
 
-    assert_ne!(chosen(&servers, 20_000), Some(0));
+    assert_ne!(choose(&servers, 20_000), Some(0));
 }
 
 #[test]
-fn small_differences_of_pace_do_not_move_a_program() {
+fn small_differences_in_pace_do_not_move_a_program() {
     let mut warm = server(40_000);
     warm.cached = 4_000;
     let servers = [warm, server(25_000), server(25_000)];
 
-    assert_eq!(chosen(&servers, 4_000), Some(0));
+    assert_eq!(choose(&servers, 4_000), Some(0));
 }
 
 /// Returns an order for a model.
@@ -174,5 +176,5 @@
         } => Some(beat.load.pace),
         _ => None,
     });
-    assert_eq!(last, Some(100_000), "a piece each 100 ms");
+    assert_eq!(last, Some(100_000), "one chunk per 100 ms");
 }
