--- a/lib/tests/explain.rs
+++ b/lib/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From an id to its cause, by lines as the processes write them.
+//! Explanations of refusals, failures and delays from sample log lines.
 
 use limpetferry_lib::explain::LogLine;
 use limpetferry_lib::explain::explain;
@@ -6,7 +6,7 @@
 fn lines(text: &str) -> Vec<LogLine> {
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     lines
-        .map(|line| LogLine::parse(line).expect("a line"))
+        .map(|line| LogLine::parse(line).expect("a valid log line"))
         .collect()
 }
 
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn quoted_values_and_what_a_collector_puts_before_are_read() {
+fn quoted_values_and_a_collectors_prefix_are_parsed() {
     let line = LogLine::parse(
         r#"  12.5 edge-1 time=2026-10-18T01:02:03.500Z level=INFO node=edge-1 event=refused attempt=a1 why="it said \"no\" twice""#,
     );
-    let line = line.expect("a line");
+    let line = line.expect("a valid log line");
 
     assert_eq!(line.time, 3_723.5);
     assert_eq!(line.get("attempt"), "a1");
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn lines_of_others_are_passed_over() {
+fn foreign_lines_are_ignored() {
     assert_eq!(LogLine::parse("thread 'main' panicked"), None);
     assert_eq!(LogLine::parse("time=late event=refused"), None);
     assert_eq!(LogLine::parse("time=2026-10-18T01:02:03Z level=INFO"), None);
 }
 
 #[test]
-fn a_turn_refused_by_a_gateway_that_was_cut_off_alone() {
+fn a_turn_refused_by_a_gateway_that_alone_lost_its_keepers() {
     let text = r#"
         time=2026-10-18T10:00:00.000Z node=edge-1 event=keeper_lost keeper=keeper-1 why="no answer to a ping"
         time=2026-10-18T10:00:00.100Z node=edge-1 event=keeper_lost keeper=keeper-2 why="no answer to a ping"
@@ -42,7 +42,7 @@
     "#;
     assert_eq!(
         cause(text, "a1"),
-        "edge-1 alone lost its links to keeper-1, keeper-2: its network was cut"
+        "only edge-1 lost its links to keeper-1, keeper-2: its network connection failed"
     );
 }
 
@@ -61,11 +61,11 @@
 
     let started = "time=2026-10-18T10:00:00.200Z node=keeper-1 event=started role=keeper\n";
     let found = cause(&[text, started].concat(), "a1");
-    assert!(found.contains("started anew: keeper-1"), "{found}");
+    assert!(found.contains("restarted: keeper-1"), "{found}");
 }
 
 #[test]
-fn links_lost_long_before_are_no_cause() {
+fn links_lost_long_before_a_refusal_are_not_its_cause() {
     let text = r#"
         time=2026-10-18T10:00:00.000Z node=edge-1 event=keeper_lost keeper=keeper-1 why=closed
         time=2026-10-18T10:00:30.000Z node=edge-1 event=refused attempt=a1 status=503 why="too few keepers answer; come back"
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn a_turn_refused_by_a_gateway_that_was_behind() {
+fn a_turn_refused_by_an_overloaded_gateway() {
     let text = r#"
         time=2026-10-18T10:00:00.000Z node=edge-1 event=behind timers_ms=3 answers_ms=96
         time=2026-10-18T10:00:00.200Z node=edge-1 event=refused attempt=a1 status=503 why="more programs than this gateway can serve in time; come back"
     "#;
     assert_eq!(
         cause(text, "a1"),
-        "edge-1 was behind its work: its timers 3 ms late, its keepers' answers 96 ms"
+        "edge-1 was overloaded: its timers were 3 ms late, and its keepers answered in 96 ms"
     );
 }
 
 #[test]
-fn a_call_whose_server_crashed_and_one_whose_answer_was_lost() {
+fn a_crashed_server_is_distinguished_from_a_lost_answer() {
     let failed = |attempt: &str, server: &str| {
         format!(
             r#"time=2026-10-18T10:00:00.000Z node=edge-1 event=attempt_failed attempt={attempt} server={server} why="Unknown(\"connection closed\")""#
@@ -100,10 +100,10 @@
     let lost = cause(&text, "a2");
 
     assert!(
-        crashed.contains("the server left the list then"),
+        crashed.contains("the server was removed from the list at that time"),
         "{crashed}"
     );
-    assert!(lost.contains("one answer was lost"), "{lost}");
+    assert!(lost.contains("a single answer was lost"), "{lost}");
 }
 
 #[test]
@@ -117,18 +117,18 @@
     assert_eq!(found.lines.len(), 2);
     let causes = found.causes.join("; ");
     assert!(
-        causes.contains("most of it for the server to begin (1166 ms)"),
+        causes.contains("most of it waiting for the server to start its answer (1166 ms)"),
         "{causes}"
     );
     assert!(
-        causes.contains("the longest, attempt a1, took 900 ms"),
+        causes.contains("the slowest, attempt a1, took 900 ms"),
         "{causes}"
     );
     assert!(causes.contains("for 3.4 s after attempt a1"), "{causes}");
 }
 
 #[test]
-fn an_id_that_no_line_names_has_no_lines_and_no_causes() {
+fn an_unknown_id_has_no_lines_and_no_causes() {
     let found = explain(
         &lines("time=2026-10-18T10:00:01.000Z node=e event=answered attempt=a1"),
         "b",
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_request_beyond_its_workspaces_allowance_names_what_was_used() {
+fn a_refusal_by_the_allowance_states_how_much_was_used() {
     let text = r#"
         time=2026-10-18T10:00:00.000Z node=edge-2 event=over_allowance attempt=a0 workspace=red shortage=requests limit=129 used=as_last_asked
         time=2026-10-18T10:00:00.050Z node=edge-2 event=over_allowance attempt=b0 workspace=blue shortage=requests limit=10 used=as_last_asked
@@ -145,7 +145,7 @@
     "#;
     assert_eq!(
         cause(text, "a1"),
-        "workspace red had no room for programs: of 129 requests within a window it had used 130, \
-         for 5 programs that began; 2 refused so within 4 s"
+        "workspace red has no allowance left for programs: of 129 requests per window it had used \
+         130, for 5 programs that began; 2 requests were refused for this within 4 s"
     );
 }
