--- a/lib/src/budget.rs
+++ b/lib/src/budget.rs
@@ -1,10 +1,10 @@
-//! What a program may spend, what it has spent, and what is reserved.
+//! Budgets of programs: limit, spending and reservations.
 
 use serde::Deserialize;
 use serde::Serialize;
 use thiserror::Error;
 
-/// An amount of what budgets limit.
+/// An amount of the resources that budgets limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
     /// Tokens, prompt and answer together.
@@ -14,7 +14,7 @@
 }
 
 impl Amount {
-    /// Makes the amount of one call of `tokens`.
+    /// Creates the amount of one call with `tokens` tokens.
     pub const fn one_call(tokens: u64) -> Self {
         Self { tokens, calls: 1 }
     }
@@ -37,7 +37,7 @@
         self.tokens <= limit.tokens && self.calls <= limit.calls
     }
 
-    /// Returns the smaller of both amounts, field by field.
+    /// Returns the minimum of both amounts, field by field.
     #[must_use]
     pub fn at_most(self, other: Self) -> Self {
         Self {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Says that a reservation would exceed a budget.
+/// A reservation would exceed the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error(
     "{} tokens and {} calls are left, the call needs {} tokens; open the program with a larger budget",
@@ -56,11 +56,11 @@
 pub struct BudgetError {
     /// What the call needs.
     pub need: Amount,
-    /// What is neither spent nor reserved.
+    /// What remains of the budget, neither spent nor reserved.
     pub left: Amount,
 }
 
-/// The budget of one program; what sub-agents spend counts in it too.
+/// The budget of a program; the spending of its sub-agents counts towards it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     limit: Amount,
@@ -69,7 +69,7 @@
 }
 
 impl Budget {
-    /// Makes an untouched budget.
+    /// Creates a budget with nothing spent or reserved.
     pub fn new(limit: Amount) -> Self {
         Self {
             limit,
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Returns what may be spent in all.
+    /// Returns the limit on total spending.
     pub fn limit(&self) -> Amount {
         self.limit
     }
 
-    /// Returns what was spent.
+    /// Returns the amount spent.
     pub fn spent(&self) -> Amount {
         self.spent
     }
 
-    /// Returns what is neither spent nor reserved.
+    /// Returns the amount that is neither spent nor reserved.
     pub fn left(&self) -> Amount {
         self.limit.minus(self.spent.plus(self.reserved))
     }
@@ -96,7 +96,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`BudgetError`] if more would be spent than the limit.
+    /// Returns a [`BudgetError`] if spending and reservations would exceed the
+    /// limit.
     pub fn check(&self, need: Amount) -> Result<(), BudgetError> {
         if self.spent.plus(self.reserved).plus(need).fits(self.limit) {
             return Ok(());
@@ -107,13 +108,14 @@
         })
     }
 
-    /// Reserves `need`, which [`Budget::check`] found to fit.
+    /// Reserves `need`, which must have passed [`Budget::check`].
     pub fn reserve(&mut self, need: Amount) {
         self.reserved = self.reserved.plus(need);
     }
 
-    /// Turns a reservation of `need` into `used`, of which no more than the
-    /// reservation counts: a call cannot use more than it was granted.
+    /// Replaces a reservation of `need` by spending of `used`. At most the
+    /// reservation is charged: a call is never charged more than it was
+    /// granted.
     pub fn settle(&mut self, need: Amount, used: Amount) {
         self.reserved = self.reserved.minus(need);
         self.spent = self.spent.plus(used.at_most(need));
--- a/lib/src/document.rs
+++ b/lib/src/document.rs
@@ -1,4 +1,4 @@
-//! An operator's configuration document and its check.
+//! Operators' configuration documents and their validation.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,19 +18,19 @@
 
 /// Length of a key's SHA-256 digest in hexadecimal digits.
 const KEY_DIGITS: usize = 64;
-/// Longest time that a backend server may be given for a call.
+/// Highest timeout of a call at a backend server that a document may set.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-/// Most calls that a backend server may run at once.
+/// Highest number of slots of a backend server that a document may set.
 const MAX_SLOTS: u32 = 10_000;
 
-/// What one backend server can do.
+/// Capacity of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerRules {
-    /// Calls that it runs at once.
+    /// Number of calls that it runs concurrently.
     pub slots: u32,
-    /// Tokens of prompt prefixes that its cache holds; zero for a server
-    /// that is no engine.
+    /// Size of its prompt prefix cache, in tokens; zero for a server that is not
+    /// an engine.
     #[serde(default)]
     pub cache: u64,
 }
@@ -41,23 +41,23 @@
 pub struct ModelRules {
     /// Backend servers that serve it.
     pub servers: Vec<NodeId>,
-    /// Most tokens of an answer.
+    /// Maximum tokens of an answer.
     pub tokens: u64,
-    /// Time that a call may run, in milliseconds.
+    /// Maximum running time of a call, in milliseconds.
     #[serde(rename = "timeout_ms")]
     pub timeout: u64,
 }
 
-/// A route of a service whose calls differ from the rest of the service.
+/// A route of a service with its own setting for idempotency.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// HTTP method; every method if it is left out.
+    /// HTTP method; every method if absent.
     #[serde(default)]
     pub method: Option<String>,
-    /// Start of the path below the service.
+    /// Prefix of the path below the service.
     pub prefix: String,
-    /// Whether running such a call twice does no harm.
+    /// Whether it is safe to run a call of this route more than once.
     pub idempotent: bool,
 }
 
@@ -67,43 +67,43 @@
 pub struct ServiceRules {
     /// Backend servers that serve it.
     pub servers: Vec<NodeId>,
-    /// Whether running a call twice does no harm, where no route says
-    /// otherwise.
+    /// Whether it is safe to run a call more than once, unless a route
+    /// overrides it.
     #[serde(default)]
     pub idempotent: bool,
-    /// Time that a call may run, in milliseconds.
+    /// Maximum running time of a call, in milliseconds.
     #[serde(rename = "timeout_ms")]
     pub timeout: u64,
-    /// Routes that differ; the first that fits counts.
+    /// Routes that override `idempotent`; the first match applies.
     #[serde(default)]
     pub routes: Vec<Route>,
 }
 
 impl ServiceRules {
-    /// Returns whether a call by `method` to `path` may be run twice.
+    /// Returns whether a call with `method` to `path` may run more than once.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
-        let fits = |route: &&Route| {
-            let same = route.method.as_deref().is_none_or(|name| name == method);
-            same && path.starts_with(&route.prefix)
+        let matches = |route: &&Route| {
+            let same_method = route.method.as_deref().is_none_or(|name| name == method);
+            same_method && path.starts_with(&route.prefix)
         };
-        match self.routes.iter().find(fits) {
+        match self.routes.iter().find(matches) {
             Some(route) => route.idempotent,
             None => self.idempotent,
         }
     }
 }
 
-/// What the calls of a deployment may use at once, over all entries.
+/// Limits on the concurrent calls of a deployment, across all entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Calls that run at once.
+    /// Maximum number of running calls.
     pub running: u64,
-    /// Calls that wait at once.
+    /// Maximum number of waiting calls.
     pub waiting: u64,
 }
 
-/// What one program may use over its life.
+/// Limits on a program's total use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProgramLimits {
@@ -111,13 +111,13 @@
     pub tokens: u64,
     /// Calls.
     pub calls: u64,
-    /// Seconds without a call after which it counts as abandoned.
+    /// Seconds without a call after which the program counts as abandoned.
     #[serde(rename = "idle_s")]
     pub idle: u64,
 }
 
 impl ProgramLimits {
-    /// Returns the limits of tokens and calls as an amount.
+    /// Returns the limits on tokens and calls as an amount.
     pub fn amount(&self) -> Amount {
         Amount {
             tokens: self.tokens,
@@ -126,7 +126,7 @@
     }
 }
 
-/// How a deployment weighs its two measures; only their ratio counts.
+/// Relative weights of a deployment's objectives; only their ratio matters.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
@@ -149,7 +149,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentRules {
-    /// SHA-256 of the callers' key, in hexadecimal digits.
+    /// SHA-256 of the callers' API key, in hexadecimal digits.
     pub key: String,
     /// Models by name.
     #[serde(default)]
@@ -157,9 +157,9 @@
     /// Tool services and plain services by name.
     #[serde(default)]
     pub services: BTreeMap<Service, ServiceRules>,
-    /// Limits of all its calls together.
+    /// Limits on all its calls together.
     pub limits: Limits,
-    /// Limits of each program.
+    /// Limits on each program.
     pub program: ProgramLimits,
     /// Weights of latency and wasted cache.
     #[serde(default)]
@@ -176,17 +176,17 @@
     pub deployments: BTreeMap<Deployment, DeploymentRules>,
 }
 
-/// One fault of a document or of a process's settings.
+/// A validation error of a document or of a process's settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Path of the field, names joined by dots.
+    /// Path of the field, with names separated by dots.
     pub path: String,
-    /// What is wrong and what would be right.
+    /// What is wrong, and how to correct it.
     pub remedy: String,
 }
 
 impl Fault {
-    /// Makes a fault of the field at `path`.
+    /// Creates a fault of the field at `path`.
     pub fn new(path: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -202,12 +202,11 @@
 }
 
 impl Document {
-    /// Reads a document and checks it whole.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// Returns every fault that was found; a document that cannot be read at
-    /// all gives one.
+    /// Returns all faults; a document that cannot be parsed yields a single one.
     pub fn parse(value: &serde_json::Value) -> Result<Self, Vec<Fault>> {
         let mut document: Self = Self::deserialize(value).map_err(|error| {
             vec![Fault::new(
@@ -224,7 +223,8 @@
         }
     }
 
-    /// Sorts all lists of servers, so that one is found in them quickly.
+    /// Sorts all server lists and removes duplicates, so that they can be
+    /// searched quickly.
     fn sort_servers(&mut self) {
         for rules in self.deployments.values_mut() {
             let models = rules.models.values_mut().map(|model| &mut model.servers);
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Returns every fault of the document.
+    /// Returns all faults of the document.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         for (name, server) in &self.servers {
@@ -368,52 +368,53 @@
     }
 }
 
-/// A patch that was applied, as the document remembers it.
+/// Record of an applied patch in an envelope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AppliedPatch {
-    /// Id that the operator gave the patch.
+    /// Id of the patch, chosen by the operator.
     pub id: String,
     /// Digest of the patch.
     pub digest: Digest,
-    /// Version that it led to.
+    /// Version that it resulted in.
     pub version: Version,
 }
 
-/// A document as the key-value service holds it.
+/// A document as stored in the key-value service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
     /// The operator.
     pub operator: Operator,
-    /// Version of the document; the first patch leads to version 1.
+    /// Version of the document; the first patch results in version 1.
     pub version: Version,
     /// The document.
     pub document: serde_json::Value,
-    /// The last patches, newest last.
+    /// The latest applied patches, newest last.
     pub patches: Vec<AppliedPatch>,
 }
 
-/// The newest documents that a process has heard of.
+/// The newest documents known to a process.
 #[derive(Clone, Debug, Default)]
 pub struct Documents {
-    known: BTreeMap<Operator, (Version, Document, String)>,
+    /// Version, document and JSON text of the envelope, by operator.
+    current: BTreeMap<Operator, (Version, Document, String)>,
 }
 
-/// What became of an envelope that a process heard of.
+/// Result of [`Documents::update`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// It is newer and is now in force.
+    /// The envelope was newer and is now in force.
     Applied(Version),
-    /// It is not newer than what is in force.
+    /// The envelope is not newer than the one in force.
     Stale,
-    /// It is newer but its document does not pass the check.
+    /// The envelope cannot be parsed, or is newer but its document is invalid.
     Faulty(Vec<Fault>),
 }
 
 impl Documents {
-    /// Takes over the envelope whose JSON text is `text`, unless an equal or
-    /// higher version is in force: no process ever goes back.
+    /// Puts the envelope with the JSON text `text` in force, unless an equal or
+    /// higher version is in force: the version in force never decreases.
     pub fn update(&mut self, text: &str) -> Update {
         let envelope: Envelope = match serde_json::from_str(text) {
             Ok(envelope) => envelope,
@@ -426,64 +427,68 @@
             Ok(document) => {
                 let version = envelope.version;
                 let entry = (version, document, text.to_owned());
-                self.known.insert(envelope.operator, entry);
+                self.current.insert(envelope.operator, entry);
                 Update::Applied(version)
             }
             Err(faults) => Update::Faulty(faults),
         }
     }
 
-    /// Returns the version of `operator` in force; zero if there is none.
+    /// Returns the version in force of `operator`'s document; zero if there is
+    /// none.
     pub fn version(&self, operator: &Operator) -> Version {
-        self.known
+        self.current
             .get(operator)
             .map_or(Version::default(), |(version, _, _)| *version)
     }
 
     /// Returns all versions in force.
     pub fn versions(&self) -> Vec<(Operator, Version)> {
-        self.known
+        self.current
             .iter()
             .map(|(operator, (version, _, _))| (operator.clone(), *version))
             .collect()
     }
 
-    /// Returns the envelope texts that a process with `versions` lacks.
+    /// Returns the JSON texts of the envelopes that are newer than `versions`.
     pub fn newer_than<'a>(
         &'a self,
         versions: &'a [(Operator, Version)],
     ) -> impl Iterator<Item = &'a str> {
-        self.known.iter().filter_map(move |(operator, entry)| {
+        self.current.iter().filter_map(move |(operator, entry)| {
             let theirs = versions.iter().find(|(name, _)| name == operator);
-            let behind = theirs.is_none_or(|(_, version)| *version < entry.0);
-            behind.then_some(entry.2.as_str())
+            let is_newer = theirs.is_none_or(|(_, version)| *version < entry.0);
+            is_newer.then_some(entry.2.as_str())
         })
     }
 
     /// Returns the rules of a deployment.
     pub fn rules(&self, operator: &Operator, name: &Deployment) -> Option<&DeploymentRules> {
-        self.known.get(operator)?.1.deployments.get(name)
+        self.current.get(operator)?.1.deployments.get(name)
     }
 
-    /// Returns the deployment whose callers' key has the digest `key`.
+    /// Returns the deployment whose API key has the digest `key`.
     pub fn deployment_of(&self, key: &str) -> Option<(&Operator, &Deployment)> {
         self.deployments()
             .find(|(_, _, rules)| rules.key == key)
             .map(|(operator, name, _)| (operator, name))
     }
 
-    /// Returns what a backend server can do, by any operator's document.
+    /// Returns the capacity of a backend server from any operator's document
+    /// that lists it.
     pub fn server(&self, name: &NodeId) -> Option<&ServerRules> {
-        self.known
+        self.current
             .values()
             .find_map(|(_, document, _)| document.servers.get(name))
     }
 
     /// Returns all deployments with their rules.
     pub fn deployments(&self) -> impl Iterator<Item = (&Operator, &Deployment, &DeploymentRules)> {
-        self.known.iter().flat_map(|(operator, (_, document, _))| {
-            let rules = document.deployments.iter();
-            rules.map(move |(name, rules)| (operator, name, rules))
-        })
+        self.current
+            .iter()
+            .flat_map(|(operator, (_, document, _))| {
+                let rules = document.deployments.iter();
+                rules.map(move |(name, rules)| (operator, name, rules))
+            })
     }
 }
--- a/lib/src/events.rs
+++ b/lib/src/events.rs
@@ -1,64 +1,65 @@
-//! Event streams of engines, cut into whole events.
+//! Splits event streams of engines into complete events.
 
 use bytes::Buf as _;
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Longest event; a server that sends more without an end is cut off.
-const MAX_EVENT: usize = 1 << 20;
+/// Maximum size of an event; a stream with a longer one is closed.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came, with the blank line at the end.
+    /// Its unchanged bytes, with the blank line at the end.
     pub bytes: Bytes,
     /// Its id, if it has one.
     pub id: Option<u64>,
-    /// Its data, without the field's name.
+    /// Its data, without the field name.
     pub data: Option<Bytes>,
 }
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
-    /// Bytes of `rest` in which no end was found.
+    /// Bytes of an event that is not yet complete.
+    buffer: BytesMut,
+    /// Number of bytes of `buffer` that were searched for the end of an event.
     searched: usize,
 }
 
 impl Splitter {
-    /// Takes bytes of the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let from = self.searched.saturating_sub(3);
-        let Some((end, skip)) = blank_line(&self.rest[from..]) else {
-            self.searched = self.rest.len();
+        let Some((end, skip)) = blank_line(&self.buffer[from..]) else {
+            self.searched = self.buffer.len();
             return None;
         };
-        let bytes = self.rest.split_to(from + end + skip).freeze();
+        let bytes = self.buffer.split_to(from + end + skip).freeze();
         self.searched = 0;
         Some(parse(bytes))
     }
 
-    /// Returns whether an event has begun and not ended.
+    /// Returns whether part of an event was received.
     pub fn is_midway(&self) -> bool {
-        self.rest.has_remaining()
+        self.buffer.has_remaining()
     }
 
-    /// Returns whether the rest is too long for an event.
+    /// Returns whether the incomplete event exceeds the maximum size.
     pub fn is_overlong(&self) -> bool {
-        self.rest.len() > MAX_EVENT
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 }
 
-/// Finds the first blank line: where the line end before it begins, and how
-/// long both line ends are.
+/// Finds the first blank line. Returns the offset of the newline that precedes
+/// it, and the length of that newline and the blank line together.
 fn blank_line(bytes: &[u8]) -> Option<(usize, usize)> {
-    for at in memchr(bytes) {
+    for at in newlines(bytes) {
         if bytes[at + 1..].starts_with(b"\n") {
             return Some((at, 2));
         }
@@ -69,9 +70,11 @@
     None
 }
 
-fn memchr(bytes: &[u8]) -> impl Iterator<Item = usize> + '_ {
-    let ends = bytes.iter().enumerate();
-    ends.filter(|(_, byte)| **byte == b'\n').map(|(at, _)| at)
+fn newlines(bytes: &[u8]) -> impl Iterator<Item = usize> + '_ {
+    let indexed = bytes.iter().enumerate();
+    indexed
+        .filter(|(_, byte)| **byte == b'\n')
+        .map(|(at, _)| at)
 }
 
 fn parse(bytes: Bytes) -> Event {
--- a/lib/src/history.rs
+++ b/lib/src/history.rs
@@ -1,5 +1,4 @@
-//! A program's history: a chain of messages, each naming the one before by
-//! its digest.
+//! A program's history: its messages, linked into a hash chain.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,8 +6,8 @@
 
 use crate::id::Digest;
 
-/// One message of a history, as the JSON text that the caller or the engine
-/// gave.
+/// A message of a history, as the original JSON text from the caller or the
+/// engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
     /// JSON text of the message.
@@ -16,26 +15,26 @@
 }
 
 impl Turn {
-    /// Makes a turn of a message's JSON text.
+    /// Creates a turn from a message's JSON text.
     pub fn new(text: impl Into<String>) -> Self {
         Self { text: text.into() }
     }
 }
 
-/// Says why a history was refused.
+/// Error of verifying a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HistoryError {
-    /// The turns do not add up to the digest that was recorded with them.
+    /// The digest of the turns differs from the recorded one.
     #[error("the history's digest is {found}, not {expected}; supply the messages in full")]
     Broken {
-        /// Digest that was recorded.
+        /// The recorded digest.
         expected: Digest,
-        /// Digest that the turns have.
+        /// The digest computed from the turns.
         found: Digest,
     },
 }
 
-/// The messages of one program, and the digest of their chain.
+/// The messages of one program with the digest of their hash chain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     turns: Vec<Turn>,
@@ -53,12 +52,12 @@
         self.digest
     }
 
-    /// Returns the size of all messages, in bytes.
+    /// Returns the total size of the messages, in bytes.
     pub fn size(&self) -> usize {
         self.turns.iter().map(|turn| turn.text.len()).sum()
     }
 
-    /// Appends messages, each of which extends the chain.
+    /// Appends messages and extends the chain by each.
     pub fn extend(&mut self, turns: impl IntoIterator<Item = Turn>) {
         for turn in turns {
             self.digest = self.digest.then(turn.text.as_bytes());
@@ -70,8 +69,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HistoryError::Broken`] if a turn was lost, changed or mixed
-    /// up with one of another program.
+    /// Returns [`HistoryError::Broken`] if a turn is missing, was changed or
+    /// belongs to another program.
     pub fn verify(&self) -> Result<(), HistoryError> {
         let mut found = Digest::default();
         for turn in &self.turns {
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -1,4 +1,4 @@
-//! Newtypes for the identifiers that pass between processes.
+//! Newtypes for identifiers that are exchanged between processes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -18,7 +18,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes the name from its text.
+            /// Creates a name from its text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
@@ -38,45 +38,45 @@
 }
 
 name_type! {
-    /// Names one process of the system: an entry or a side process.
+    /// Name of a process of the system: an entry or a side process.
     NodeId
 }
 name_type! {
-    /// Names a data centre.
+    /// Name of a data centre.
     DataCentre
 }
 name_type! {
-    /// Names an operator, the owner of one configuration document.
+    /// Name of an operator, who has one configuration document.
     Operator
 }
 name_type! {
-    /// Names a deployment within an operator's document.
+    /// Name of a deployment within an operator's document.
     Deployment
 }
 name_type! {
-    /// Names a tool service or a plain service within a deployment.
+    /// Name of a tool service or plain service within a deployment.
     Service
 }
 name_type! {
-    /// Names a model within a deployment.
+    /// Name of a model within a deployment.
     Model
 }
 
-/// Says why the text of an identifier was refused.
+/// Error of parsing an identifier.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum IdError {
-    /// The program id does not have the form that the system issues.
+    /// The text is not in the format of program ids.
     #[error("program id {0:?} is malformed; use the id that POST /v1/programs returned")]
     Program(String),
 }
 
-/// Identifies a program; sub-agents share the `root` of their parent, and so
-/// its shard.
+/// Identifies a program. Sub-agents have the `root` of their parent and are
+/// therefore in the same shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProgramId {
-    /// Random number shared by a whole tree of programs; it selects the shard.
+    /// Random number that all programs of a tree share; it determines the shard.
     pub root: u64,
-    /// Random number of this program within its tree.
+    /// Random number of this program within its tree; zero for a single call.
     pub leaf: u64,
 }
 
@@ -85,13 +85,13 @@
     ///
     /// # Panics
     ///
-    /// Panics if `count` is zero; checked settings never have it so.
+    /// Panics if `count` is zero; the check of the settings rejects zero.
     pub fn shard(self, count: u16) -> ShardId {
         assert!(count > 0, "a system has at least one shard");
         ShardId((self.root % u64::from(count)) as u16)
     }
 
-    /// Derives the program of a call that names none from the call's own id.
+    /// Derives the program id of a call without a program from the call's id.
     pub fn of_single(call: CallId) -> Self {
         Self {
             root: call.0 as u64,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns whether the program stands for one call without a program.
+    /// Returns whether this is the id of a call without a program.
     pub fn is_single(self) -> bool {
         self.leaf == 0
     }
@@ -130,14 +130,14 @@
     }
 }
 
-/// Identifies a call: the same idempotency key of the same program always
-/// gives the same id, at every entry.
+/// Identifies a call. The same idempotency key in the same program yields the
+/// same id at every entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallId(pub u128);
 
 impl CallId {
-    /// Derives the id of a call from the scope of its key (a program, or a
-    /// deployment for a call without one) and the idempotency key.
+    /// Derives the id of a call from its idempotency key and the scope of the
+    /// key (the program, or the deployment for a call without one).
     pub fn derive(scope: &str, key: &str) -> Self {
         let mut hash = Sha256::new();
         hash.update((scope.len() as u64).to_be_bytes());
@@ -156,7 +156,7 @@
     }
 }
 
-/// Numbers a shard, a fixed slice of all programs.
+/// Number of a shard, a fixed partition of all programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ShardId(pub u16);
 
@@ -166,7 +166,7 @@
     }
 }
 
-/// Counts the changes of a shard's owner or keeper; each change adds one.
+/// Number that grows by one with each change of a shard's owner or keeper.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -178,8 +178,8 @@
     }
 }
 
-/// Tells one life of a process from the next: the key-value service's
-/// revision at which the process registered.
+/// Distinguishes restarts of a process: the revision of the key-value service
+/// at which the process registered.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -191,7 +191,7 @@
     }
 }
 
-/// Numbers an operator's configuration document.
+/// Version number of an operator's configuration document.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -203,7 +203,8 @@
     }
 }
 
-/// Digest of a body, or of a chain of history entries.
+/// Digest of a body or of a chain of history entries: the first 16 bytes of a
+/// SHA-256.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -215,7 +216,7 @@
         Self::default().then(bytes)
     }
 
-    /// Extends the chain that ends in this digest by `bytes`.
+    /// Returns the digest of the chain that extends this one by `bytes`.
     #[must_use]
     pub fn then(self, bytes: &[u8]) -> Self {
         let mut hash = Sha256::new();
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of the limpetferry scheduler: who owns a program, which
-//! call may run, where, in what order, and what is kept of it.
+//! Decision logic of the limpetferry scheduler: which process owns a program,
+//! which calls may run, where and in what order, and what is recorded of them.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. Each role is one
-//! reducer that takes the present time and an event and returns effects as
-//! data; `limpetferry-net` turns them into bytes.
+//! This crate does no I/O, reads no clock and starts no threads. Each role is a
+//! state machine that takes the current time and an event and returns effects as
+//! data; `limpetferry-net` carries them out.
 
 pub mod admission;
 pub mod allowance;
--- a/lib/src/message.rs
+++ b/lib/src/message.rs
@@ -1,4 +1,4 @@
-//! What the system's processes say to each other.
+//! Messages between the system's processes.
 
 use std::time::Duration;
 
@@ -28,19 +28,19 @@
 use crate::program::Urgency;
 use crate::shard::Block;
 
-/// Names one waiting caller at one entry, in one life of that entry.
+/// Identifies a waiting caller at an entry; unique across restarts of the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The entry's life.
+    /// The entry's boot.
     pub boot: Boot,
-    /// Number of the submission; never used twice.
+    /// Number of the submission; unique within a boot.
     pub serial: u64,
 }
 
-/// What callers ask of a program's owner.
+/// A caller's request to a program's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Runs a call, or attaches to one under way.
+    /// Runs a call, or attaches to it if it is running already.
     Call(Box<CallRequest>),
     /// Opens a program.
     Open(OpenRequest),
@@ -48,12 +48,12 @@
     Read(ProgramRequest),
     /// Ends a program.
     End(ProgramRequest),
-    /// Settles a call of unknown outcome, on an operator's word.
+    /// Sets the outcome of a call of unknown outcome, by an operator's decision.
     Judge(Judgement),
 }
 
 impl Request {
-    /// Returns the program that is asked about.
+    /// Returns the program that the request is about.
     pub fn program(&self) -> ProgramId {
         match self {
             Self::Call(call) => call.program,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Returns in whose name it is asked; an operator's word counts for all
-    /// of its deployments.
+    /// Returns the operator and deployment that the request is authorised for;
+    /// a decision of an operator covers all its deployments.
     pub fn tenant(&self) -> (&Operator, Option<&Deployment>) {
         match self {
             Self::Call(call) => (&call.operator, Some(&call.deployment)),
@@ -77,7 +77,7 @@
     }
 }
 
-/// Opens a program under an id that the entry has drawn.
+/// Opens a program under an id that the entry has generated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRequest {
     /// The program's id.
@@ -88,11 +88,11 @@
     pub operator: Operator,
     /// The deployment.
     pub deployment: Deployment,
-    /// What it may spend, at most the deployment's own limit.
+    /// The program's budget, at most the deployment's own limit.
     pub limit: Amount,
 }
 
-/// Reads or ends a program, in the name of a deployment.
+/// Reads or ends a program on behalf of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramRequest {
     /// The program.
@@ -103,20 +103,20 @@
     pub deployment: Deployment,
 }
 
-/// An operator's word on a call of unknown outcome.
+/// An operator's decision on a call of unknown outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Judgement {
     /// The call's program.
     pub program: ProgramId,
-    /// The operator whose word it is.
+    /// The operator who decided.
     pub operator: Operator,
     /// The call.
     pub call: CallId,
-    /// Whether the operator found that it ran.
+    /// Whether the call ran, according to the operator.
     pub ran: bool,
 }
 
-/// A program as a caller sees it.
+/// The state of a program as returned to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramView {
     /// Its id.
@@ -135,166 +135,166 @@
     pub turns: Vec<Turn>,
 }
 
-/// The end of a call whose bytes went before.
+/// The end of an answered call, sent after the bytes of its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ending {
     /// The call.
     pub call: CallId,
     /// Its number in the program.
     pub number: u64,
-    /// Run of the call that the bytes belong to.
+    /// Attempt that the bytes belong to.
     pub attempt: u64,
     /// HTTP status of the backend server.
     pub status: u16,
     /// Content type of the body.
     pub kind: String,
-    /// Number of bytes of the whole answer.
+    /// Size of the whole answer, in bytes.
     pub size: u64,
     /// Digest of the program's history after the call.
     pub digest: Digest,
 }
 
-/// The last word on a submission.
+/// The final reply to a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The call has ended with an answer.
+    /// The call was answered.
     Ended(Ending),
-    /// The call has no answer.
+    /// The request was refused or has failed.
     Refused(Refusal),
-    /// The program, as opened, read or ended.
+    /// The program that was opened, read or ended.
     Program(Box<ProgramView>),
     /// Another entry owns the program now.
     Moved,
 }
 
-/// A change of a shard that its keeper copies.
+/// A change of a shard that is replicated to its keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Everything that follows replaces what the keeper has.
+    /// Starts a new copy: the changes that follow replace the keeper's copy.
     Begin,
-    /// A whole program.
+    /// The full state of a program.
     Program(Box<ProgramCopy>),
-    /// A program's changing part, with the call that changed.
+    /// A change of one program, with the call that caused it.
     Update {
         /// The program.
         program: ProgramId,
-        /// Its changing part.
+        /// Its new state.
         head: Box<ProgramHead>,
-        /// Budgets of the programs above, which the call draws on too. They
-        /// change together with the call, or a takeover would count it twice
-        /// or not at all.
+        /// Budgets of the program's ancestors, which the call is charged to as
+        /// well. They are sent in the same change as the call; otherwise, after
+        /// a takeover, the call could be charged twice or not at all.
         above: Vec<(ProgramId, Budget)>,
         /// The call that changed.
         record: Option<Box<CallRecord>>,
-        /// Messages that the history gains.
+        /// Messages added to the history.
         turns: Vec<Turn>,
-        /// Whether those replace the history.
+        /// Whether `turns` replace the history.
         replace: bool,
     },
-    /// Changes nothing; its acknowledgement confirms that the sender still
-    /// owns the shard.
+    /// No change; its acknowledgement confirms that the sender still owns the
+    /// shard.
     Probe,
-    /// The program is no longer remembered.
+    /// The program is deleted.
     Forget(ProgramId),
-    /// What began is complete.
+    /// The copy that [`Change::Begin`] started is complete.
     Complete,
 }
 
-/// Why a keeper did not take a change.
+/// Why a keeper rejected a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeepFault {
     /// A higher epoch is known.
     Fenced,
-    /// The keeper does not have what went before.
+    /// The keeper lacks an earlier change.
     Gap,
 }
 
-/// Work for a backend server.
+/// An order to run a call at a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Shard and epoch of the owner; `None` for a call that no shard holds.
+    /// Shard and epoch of the owner; `None` for a call that belongs to no shard.
     pub shard: Option<(ShardId, Epoch)>,
-    /// Life of the side process that the order is meant for.
+    /// Boot of the side process that the order is for.
     pub boot: Boot,
     /// The program.
     pub program: ProgramId,
     /// The call.
     pub call: CallId,
-    /// Run of the call; a new one only after an earlier one surely did not
-    /// run or may run twice.
+    /// Random id of the attempt. A call gets a new attempt only if earlier ones
+    /// are known not to have run, or if it is idempotent.
     pub attempt: u64,
-    /// Deployment, for fairness.
+    /// Deployment, for fair queueing.
     pub deployment: Deployment,
-    /// What to ask of the backend server.
+    /// The model or service to call.
     pub target: Target,
-    /// Whether running it twice does no harm.
+    /// Whether it is safe to run the call more than once.
     pub idempotent: bool,
-    /// Whole history and new messages, for a model.
+    /// Whole history and new messages, for a model call.
     pub turns: Vec<Turn>,
-    /// Body, or a model's further parameters.
+    /// Body of a service call, or further parameters of a model call.
     pub body: Vec<u8>,
-    /// Upper bound of the answer's tokens.
+    /// Upper bound of tokens in the answer.
     pub tokens: u64,
-    /// How soon it is needed.
+    /// Scheduling class.
     pub urgency: Urgency,
-    /// Tokens that the program has had so far.
+    /// Tokens that the program has consumed so far.
     pub attained: u64,
-    /// Time that it may still wait and run.
+    /// Time left for waiting and running.
     pub patience: Duration,
-    /// Time that it may run.
+    /// Maximum running time.
     pub timeout: Duration,
 }
 
-/// Why a side process did not take an order; the work did not happen.
+/// Why a side process rejected an order. The call has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderFault {
-    /// A higher epoch is known for the shard, or the attempt was sealed.
+    /// A higher epoch of the shard is known, or the attempt was sealed.
     Fenced,
-    /// The order was meant for an earlier life.
+    /// The order was for an earlier boot of the side process.
     OtherBoot,
-    /// The server is leaving.
+    /// The server is shutting down.
     Leaving,
     /// The queue is full.
     Full,
-    /// It waited until its patience was over, or was cancelled.
+    /// It expired in the queue, or was cancelled there.
     Late,
-    /// The backend server took no connection.
+    /// No connection to the backend server could be opened.
     Unreachable,
 }
 
-/// What a side process knows of an attempt that it is asked about.
+/// Status of an attempt that has not ended, as its side process reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// It waits or runs; its bytes and its end will follow.
+    /// It is queued or running; its answer and its end will follow.
     Open,
-    /// It was never seen, and is refused from now on.
+    /// It did not run, and an order for it is not accepted any more.
     Sealed,
-    /// It was given to another life of the process, of which nothing is
+    /// It was sent to another boot of the process, whose attempts are not
     /// known.
     OtherBoot,
 }
 
-/// What each process tells its peers every second.
+/// Heartbeat, which each process sends to its peers every second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
     /// Versions of the documents in force.
     pub versions: Vec<(Operator, Version)>,
-    /// Revisions of the shard blocks known.
+    /// Revisions of the known shard blocks.
     pub blocks: Vec<u64>,
-    /// Load, of a side process.
+    /// Load of the backend server, from a side process.
     pub load: Load,
-    /// Whether the process is about to go.
+    /// Whether the process is shutting down.
     pub leaving: bool,
 }
 
 /// One message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A process's view of itself and of what is in force.
+    /// Heartbeat, with the sender's state and its versions of shared data.
     Beat(Beat),
-    /// Text of an envelope that the other process lacks.
+    /// JSON text of an envelope that the receiver lacks.
     Document(String),
-    /// A shard block that the other process lacks.
+    /// A shard block that the receiver lacks.
     Block {
         /// Number of the block.
         block: u16,
@@ -303,69 +303,69 @@
         /// The assignments.
         value: Block,
     },
-    /// A caller's request, to the program's owner.
+    /// A caller's request, sent to the program's owner.
     Submit {
         /// The waiting caller.
         ticket: Ticket,
-        /// What it asks.
+        /// The request.
         request: Request,
-        /// Bytes of the answer that it has.
+        /// Number of bytes of the answer that the caller already has.
         offset: u64,
     },
-    /// The caller has gone.
+    /// The caller has disconnected.
     Withdraw {
         /// The caller's ticket.
         ticket: Ticket,
-        /// The call that it waited for.
+        /// The call that the caller waited for.
         call: CallId,
     },
-    /// A piece of an answer, to the caller's entry.
+    /// Part of an answer, sent to the caller's entry.
     Chunk {
         /// The waiting caller.
         ticket: Ticket,
-        /// Run of the call that the bytes belong to.
+        /// Attempt that the bytes belong to.
         attempt: u64,
-        /// Place of the bytes in the answer.
+        /// Offset of the bytes in the answer.
         offset: u64,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// The last word on a submission.
+    /// The final reply to a submission.
     Reply {
         /// The waiting caller.
         ticket: Ticket,
-        /// The word.
+        /// The reply.
         reply: Reply,
     },
-    /// A new owner asks the keeper for its copy.
+    /// A new owner requests the keeper's copy.
     Adopt {
         /// The shard.
         shard: ShardId,
         /// The new owner's epoch.
         epoch: Epoch,
-        /// Epoch at which the keeper was chosen; an older copy is stale.
+        /// Epoch at which the keeper was chosen; an older copy is outdated.
         chosen: Epoch,
     },
     /// One program of a keeper's copy.
     Copy {
         /// The shard.
         shard: ShardId,
-        /// The epoch that was asked under.
+        /// The epoch of the request.
         epoch: Epoch,
         /// The program.
         copy: Box<ProgramCopy>,
     },
-    /// The copy is at its end.
+    /// The end of a keeper's copy.
     Copied {
         /// The shard.
         shard: ShardId,
-        /// The epoch that was asked under.
+        /// The epoch of the request.
         epoch: Epoch,
         /// Sequence number of the keeper's last change; `None` if it has no
         /// complete copy.
         seq: Option<u64>,
     },
-    /// A change for the keeper's copy.
+    /// A change to apply to the keeper's copy.
     Keep {
         /// The shard.
         shard: ShardId,
@@ -376,7 +376,7 @@
         /// The change.
         change: Change,
     },
-    /// The keeper has the changes up to `seq`.
+    /// The keeper acknowledges all changes up to `seq`.
     Kept {
         /// The shard.
         shard: ShardId,
@@ -385,18 +385,18 @@
         /// Number of the last change.
         seq: u64,
     },
-    /// The keeper refuses changes of this epoch.
+    /// The keeper rejects a change or a request for its copy.
     KeepRefused {
         /// The shard.
         shard: ShardId,
-        /// The epoch that is refused.
+        /// The epoch of what it rejects.
         epoch: Epoch,
         /// Why.
         fault: KeepFault,
     },
-    /// Work for a backend server.
+    /// An order to run a call at a backend server.
     Order(Box<Order>),
-    /// The order was not taken; the work did not happen.
+    /// The order was rejected; the call has not run.
     OrderRefused {
         /// The call.
         call: CallId,
@@ -405,18 +405,18 @@
         /// Why.
         fault: OrderFault,
     },
-    /// A piece of an answer, to the owner.
+    /// Part of an answer, sent to the owner.
     OrderChunk {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u64,
-        /// Place of the bytes in the answer.
+        /// Offset of the bytes in the answer.
         offset: u64,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// The end of an order.
+    /// The call of an order has ended.
     OrderDone {
         /// The call.
         call: CallId,
@@ -425,45 +425,45 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// Asks what became of an attempt, and seals it if it was never seen.
+    /// Requests the status of an attempt, and seals it if it is not known.
     Settle {
-        /// Shard and epoch of the owner; `None` for a call that no shard
-        /// holds.
+        /// Shard and epoch of the owner; `None` for a call that belongs to no
+        /// shard.
         shard: Option<(ShardId, Epoch)>,
-        /// Life of the side process that the order was meant for.
+        /// Boot of the side process that the order was for.
         boot: Boot,
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u64,
     },
-    /// What became of an attempt that has not ended here.
+    /// The status of an attempt that has not ended.
     Settled {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u64,
-        /// What is known.
+        /// The status.
         standing: Standing,
     },
-    /// Stops an attempt, if it has not ended.
+    /// Cancels an attempt, if it has not ended.
     Cancel {
-        /// Shard and epoch of the owner; `None` for a call that no shard
-        /// holds.
+        /// Shard and epoch of the owner; `None` for a call that belongs to no
+        /// shard.
         shard: Option<(ShardId, Epoch)>,
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u64,
     },
-    /// The end of an attempt is safe elsewhere and need not be kept.
+    /// The outcome of an attempt is replicated; its record may be dropped.
     Forget {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u64,
     },
-    /// The program is gone; its cache may go.
+    /// The server's cache of the program is no longer needed.
     Release {
         /// The program.
         program: ProgramId,
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a call ended: an answer, or a refusal that says whether it ran.
+//! Outcomes of calls: an answer, or a refusal that states whether the call ran.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use crate::code::Code;
 use crate::history::Turn;
 
-/// What is known of the work of a call that has no answer.
+/// Whether a call without an answer has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// The work did not happen, and will not.
+    /// The call did not run, and will not.
     NotRun,
-    /// The work happened, in whole or in part.
+    /// The call ran, completely or in part.
     Ran,
-    /// Nobody can tell; the work is never started again.
+    /// Cannot be determined; the call is never started again.
     Unknown,
 }
 
 impl Ran {
-    /// Returns the word as callers see it.
+    /// Returns the value as sent to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -32,17 +32,17 @@
     }
 }
 
-/// A refusal or failure, with its remedy.
+/// A refusal or failure; its code states the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// The kind of refusal.
     pub code: Code,
-    /// What was wrong in this case; empty if the code says all.
+    /// Details of this case; empty if the code is sufficient.
     pub detail: String,
 }
 
 impl Refusal {
-    /// Makes a refusal of which the code says all.
+    /// Creates a refusal without details.
     pub fn new(code: Code) -> Self {
         Self {
             code,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Makes a refusal with a detail of this case.
+    /// Creates a refusal with details of this case.
     pub fn with(code: Code, detail: impl Into<String>) -> Self {
         Self {
             code,
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Returns when the caller should come back, if that helps.
+    /// Returns the time after which the caller should retry; `None` if a retry
+    /// does not help.
     pub fn retry_after(&self) -> Option<Duration> {
         let secs = self.code.retry_secs();
         (secs > 0).then(|| Duration::from_secs(secs))
@@ -77,38 +78,38 @@
 
 impl std::error::Error for Refusal {}
 
-/// The whole answer of a backend server to one call.
+/// The complete answer of a backend server to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// HTTP status that the backend server gave.
+    /// HTTP status from the backend server.
     pub status: u16,
     /// Content type of the body.
     pub kind: String,
-    /// Body: the event stream of a model's answer, without its end mark, or
-    /// the body of a service's.
+    /// Body: the event stream of a model without the event that ends it, or the
+    /// body from a service.
     pub body: Vec<u8>,
-    /// The message that a model's answer adds to the history.
+    /// The message that a model's answer appends to the history.
     pub turn: Option<Turn>,
     /// Tokens that the call consumed, prompt and answer; zero for a service.
     pub tokens: u64,
 }
 
-/// The end of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The call ran and this is its answer.
+    /// The call was answered.
     Answer(Answer),
     /// The call has no answer.
     Refused(Refusal),
 }
 
 impl Outcome {
-    /// Makes the outcome of a refusal without detail.
+    /// Creates the outcome of a refusal without details.
     pub fn refused(code: Code) -> Self {
         Self::Refused(Refusal::new(code))
     }
 
-    /// Returns whether the work surely did not happen.
+    /// Returns whether the call is known not to have run.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused(refusal) if refusal.code.ran() == Ran::NotRun)
     }
--- a/lib/src/patch.rs
+++ b/lib/src/patch.rs
@@ -1,4 +1,4 @@
-//! Patches: how an operator changes the document.
+//! Patches, by which operators change their documents.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,8 +12,9 @@
 use crate::id::Operator;
 use crate::id::Version;
 
-/// How many applied patches a document remembers.
-pub const REMEMBERED_PATCHES: usize = 64;
+/// Number of applied patches that are recorded in an envelope, to recognise
+/// patches that are sent again.
+pub const MAX_APPLIED_PATCHES: usize = 64;
 
 /// The change that a patch makes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -25,47 +26,47 @@
     Steps(json_patch::Patch),
 }
 
-/// A patch as an operator sends it.
+/// A patch as sent by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Id that tells a patch sent again from a new one.
+    /// Id that distinguishes a new patch from a retry.
     pub id: String,
-    /// Version that the operator saw.
+    /// Version that the patch is based on.
     pub base: Version,
     /// The change.
     pub change: Change,
 }
 
-/// A line of the audit trail.
+/// An entry of the audit log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AuditLine {
     /// Who sent the patch.
     pub who: String,
-    /// When it was applied, in seconds since 1970.
+    /// When it was applied, in seconds since the Unix epoch.
     pub when: u64,
     /// The patch's id.
     pub id: String,
-    /// Version that it changed.
+    /// Version that it was applied to.
     pub base: Version,
-    /// Version that it led to.
+    /// Version that it resulted in.
     pub version: Version,
-    /// The difference, as a JSON patch.
+    /// The change of the document, as a JSON patch.
     pub difference: json_patch::Patch,
 }
 
-/// Says why a patch was refused; nothing of it was applied.
+/// Why a patch was rejected; no part of it was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PatchError {
-    /// Another patch came first.
+    /// Another patch was applied after the version that the patch is based on.
     #[error(
         "the patch names version {base}, but {current} is current; read it, adapt the patch and send it under a new id"
     )]
     Conflict {
-        /// Version that the patch names.
+        /// Version that the patch is based on.
         base: Version,
-        /// Version that is current.
+        /// The current version.
         current: Version,
     },
     /// The id was used for another patch.
@@ -74,29 +75,29 @@
     /// The id is empty or too long.
     #[error("the patch id has {0} characters; give 1 to 128")]
     BadId(usize),
-    /// A step of the JSON patch does not fit the document.
+    /// An operation of the JSON patch cannot be applied to the document.
     #[error("the patch does not fit the document: {0}; read the current version")]
     Unfit(String),
-    /// The document that results fails its check.
-    #[error("{}", join(.0))]
+    /// The resulting document is invalid.
+    #[error("{}", join_faults(.0))]
     Faulty(Vec<Fault>),
 }
 
-fn join(faults: &[Fault]) -> String {
+fn join_faults(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("; ")
 }
 
-/// What a patch does to an envelope.
+/// Result of applying a patch to an envelope.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// It was applied before; this is the version that it led to.
+    /// The patch was applied earlier and resulted in this version.
     Before(Version),
-    /// It applies; this is to be written, with its audit line.
+    /// The new envelope and its audit entry, both still to be stored.
     Now(Box<Envelope>, Box<AuditLine>),
 }
 
-/// Returns the envelope of an operator who has sent no patch yet.
+/// Returns the initial envelope of an operator, before any patch.
 pub fn empty_envelope(operator: &Operator) -> Envelope {
     Envelope {
         operator: operator.clone(),
@@ -106,12 +107,12 @@
     }
 }
 
-/// Applies `patch` to `envelope`, whole or not at all. `when` is in seconds
-/// since 1970.
+/// Applies `patch` to `envelope`, completely or not at all. `when` is in seconds
+/// since the Unix epoch, which is 1970-01-01.
 ///
 /// # Errors
 ///
-/// Returns a [`PatchError`] that says what to mend.
+/// Returns a [`PatchError`] that states how to correct the patch.
 pub fn apply(
     envelope: &Envelope,
     patch: &Patch,
@@ -134,7 +135,7 @@
             current: envelope.version,
         });
     }
-    let document = changed(&envelope.document, &patch.change)?;
+    let document = apply_change(&envelope.document, &patch.change)?;
     Document::parse(&document).map_err(PatchError::Faulty)?;
     let version = Version(envelope.version.0 + 1);
     let audit = AuditLine {
@@ -151,7 +152,7 @@
         digest,
         version,
     });
-    let surplus = patches.len().saturating_sub(REMEMBERED_PATCHES);
+    let surplus = patches.len().saturating_sub(MAX_APPLIED_PATCHES);
     patches.drain(..surplus);
     let next = Envelope {
         operator: envelope.operator.clone(),
@@ -162,7 +163,10 @@
     Ok(Applied::Now(Box::new(next), Box::new(audit)))
 }
 
-fn changed(document: &serde_json::Value, change: &Change) -> Result<serde_json::Value, PatchError> {
+fn apply_change(
+    document: &serde_json::Value,
+    change: &Change,
+) -> Result<serde_json::Value, PatchError> {
     let mut document = document.clone();
     match change {
         Change::Merge(value) => json_patch::merge(&mut document, value),
--- a/lib/src/program.rs
+++ b/lib/src/program.rs
@@ -1,4 +1,4 @@
-//! The state of a program as its owner and its keeper hold it.
+//! State of a program, as stored by its owner and its keeper.
 
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
 use crate::id::Service;
 use crate::outcome::Outcome;
 
-/// How many finished calls of a program keep their answer.
+/// Number of latest calls of a program whose answers are kept.
 pub const RECENT_CALLS: usize = 8;
 
-/// What a call is for.
+/// The model or service that a call is for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
     /// A completion by a model.
@@ -42,57 +42,57 @@
 /// How a call's messages relate to the program's history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Supply {
-    /// The call brings all messages; they replace the history.
+    /// The call contains all messages; they replace the history.
     Full,
-    /// The call brings new messages only; they continue the history, whose
-    /// digest the caller may name.
+    /// The call contains only new messages, which continue the history; the
+    /// caller may give the digest of that history.
     Append(Option<Digest>),
 }
 
-/// How soon a call is needed.
+/// Scheduling class of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
-    /// Goes before everything else.
+    /// Scheduled before all other calls.
     Urgent,
-    /// A person waits for it.
+    /// Interactive: a person waits for the answer.
     Normal,
-    /// Nobody waits for it.
+    /// No person waits for the answer.
     Background,
 }
 
-/// One call, as an entry understood it.
+/// A call, as parsed by an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRequest {
     /// The program, or the single-call program derived from the call.
     pub program: ProgramId,
-    /// The call's own id.
+    /// Id of the call.
     pub call: CallId,
-    /// The call's place in the program's order; `None` takes the next one.
+    /// Number of the call in the program's order; `None` for the next number.
     pub number: Option<u64>,
-    /// Whether the caller can send the call again by its key.
+    /// Whether the call has an idempotency key, by which it can be retried.
     pub keyed: bool,
-    /// Digest of everything that makes the call what it is.
+    /// Digest of the request, to detect that a key is used for another call.
     pub digest: Digest,
     /// Operator of the deployment.
     pub operator: Operator,
     /// The deployment that the caller's key belongs to.
     pub deployment: Deployment,
-    /// What the call is for.
+    /// The model or service to call.
     pub target: Target,
-    /// Whether running the call twice does no harm.
+    /// Whether it is safe to run the call more than once.
     pub idempotent: bool,
-    /// Relation to the history; for models only.
+    /// How `turns` relate to the history; for model calls only.
     pub supply: Supply,
     /// New messages of a model call.
     pub turns: Vec<Turn>,
     /// Body for a service; further parameters, as a JSON object, for a model.
     pub body: Vec<u8>,
-    /// Upper bound of the answer's tokens.
+    /// Upper bound of tokens in the answer.
     pub tokens: u64,
-    /// How soon it is needed.
+    /// Scheduling class.
     pub urgency: Urgency,
-    /// How long the caller waits, counted from the arrival.
+    /// How long the caller waits, from the arrival of the call.
     pub patience: Duration,
 }
 
@@ -105,57 +105,59 @@
     pub deployment: Deployment,
     /// Program whose sub-agent this one is.
     pub parent: Option<ProgramId>,
-    /// Number that the next call gets.
+    /// Number of the next call.
     pub next: u64,
-    /// What it may spend and has spent.
+    /// Its budget.
     pub budget: Budget,
     /// Whether it has ended.
     pub ended: bool,
     /// Server that ran the last model call and may hold its cache.
     pub warm: Option<NodeId>,
-    /// Tokens of all its calls, the measure of attained service.
+    /// Tokens of all its calls, as the measure of attained service in
+    /// scheduling.
     pub attained: u64,
 }
 
-/// Where a call stands.
+/// Stage of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallStage {
-    /// It may be running at this server, in this life of its side process.
+    /// It may have been sent to this server, at this boot of its side process.
     Intended {
         /// The side process.
         server: NodeId,
-        /// The side process's life.
+        /// The side process's boot.
         boot: Boot,
     },
     /// It has ended.
     Done(Outcome),
 }
 
-/// What is kept of one call.
+/// Record of one call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
     /// The call.
     pub call: CallId,
     /// Its number in the program.
     pub number: u64,
-    /// Digest of the request, which tells a second call under the same key.
+    /// Digest of the request, to detect another call with the same key.
     pub digest: Digest,
-    /// Tells this run of the call from another one.
+    /// Random id of the latest attempt.
     pub attempt: u64,
-    /// Whether running it twice does no harm.
+    /// Whether it is safe to run the call more than once.
     pub idempotent: bool,
-    /// What is reserved for it.
+    /// Amount reserved for it.
     pub need: Amount,
-    /// The messages that it brings to the history if it ends well.
+    /// Messages to add to the history if it succeeds.
     pub turns: Vec<Turn>,
-    /// Whether those replace the history.
+    /// Whether `turns` replace the history.
     pub replace: bool,
-    /// Where it stands.
+    /// Its stage.
     pub stage: CallStage,
 }
 
 impl CallRecord {
-    /// Drops from a call that has ended what its program's history holds too.
+    /// Removes the messages of an ended call, which its program's history
+    /// contains as well.
     #[must_use]
     pub fn slim(mut self) -> Self {
         if let CallStage::Done(outcome) = &mut self.stage {
@@ -168,7 +170,7 @@
     }
 }
 
-/// What remains of a call whose answer is no longer kept.
+/// Summary of a call whose answer is no longer kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastCall {
     /// The call.
@@ -179,23 +181,23 @@
     pub answered: bool,
 }
 
-/// The whole of a program, as one copy hands it to another.
+/// The complete state of a program, as sent between its owner and its keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramCopy {
     /// The program.
     pub program: ProgramId,
-    /// Its changing part.
+    /// The part that changes with each call.
     pub head: ProgramHead,
     /// Its history.
     pub history: History,
-    /// Its last calls, oldest first; at most one is not done.
+    /// Its latest calls, oldest first; at most one has not ended.
     pub recent: Vec<CallRecord>,
-    /// Its earlier calls.
+    /// Summaries of its earlier calls.
     pub past: Vec<PastCall>,
 }
 
 impl ProgramCopy {
-    /// Makes an untouched program.
+    /// Creates a program without history and calls.
     pub fn new(program: ProgramId, head: ProgramHead) -> Self {
         Self {
             program,
@@ -211,20 +213,21 @@
         self.recent.iter().find(|record| record.call == call)
     }
 
-    /// Returns what remains of `call`, if its answer is no longer kept.
+    /// Returns the summary of `call`, if its answer is no longer kept.
     pub fn past(&self, call: CallId) -> Option<&PastCall> {
         self.past.iter().find(|past| past.call == call)
     }
 
-    /// Returns the call that is not done, if there is one.
+    /// Returns the call that has not ended, if there is one.
     pub fn open_call(&self) -> Option<&CallRecord> {
         self.recent
             .iter()
             .find(|record| !matches!(record.stage, CallStage::Done(_)))
     }
 
-    /// Puts `record`, without what the history holds too, in the place of the one with the same id, or at the end.
-    /// A call that surely did not run leaves no trace.
+    /// Adds `record` as the latest call, without the messages that the history
+    /// contains, and removes any earlier record of the call. A call that is
+    /// known not to have run is only removed.
     pub fn put(&mut self, record: CallRecord) {
         let record = record.slim();
         self.recent.retain(|old| old.call != record.call);
@@ -243,7 +246,8 @@
         }
     }
 
-    /// Adds to the history what a call that ended well brought and got.
+    /// Appends the messages of a successful call and of its answer to the
+    /// history, or replaces the history with them.
     pub fn remember(&mut self, replace: bool, turns: impl IntoIterator<Item = Turn>) {
         if replace {
             self.history = History::default();
--- a/lib/src/rules.rs
+++ b/lib/src/rules.rs
@@ -1,41 +1,45 @@
-//! Times and bounds of the system's own working; the defaults suit a site of
-//! a few entries and some twenty backend servers.
+//! Timeouts and limits of the system itself. The defaults suit a site with a few
+//! entries and about twenty backend servers.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Times and bounds that no operator's document sets.
+/// Timeouts and limits that are not set in operators' documents.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Number of shards; the same in every process, for good.
+    /// Number of shards; must be the same in every process and never change.
     pub shards: u16,
-    /// Silence of a keeper after which another one is chosen.
+    /// Time without a link to a keeper after which another is chosen.
     pub keeper_ms: u64,
-    /// Silence of an owner after which another entry takes its shards over.
+    /// Time without a link to an owner after which another entry takes over its
+    /// shards.
     pub takeover_ms: u64,
-    /// Wait for a keeper during a takeover, after which its copy is given up.
+    /// Time to wait for a keeper's copy during a takeover before the takeover
+    /// proceeds without it.
     pub cold_ms: u64,
-    /// Wait for a backend server that may have run a call.
+    /// Time to wait for the status of a call from a backend server that may have
+    /// run it.
     pub settle_ms: u64,
-    /// Wait for a keeper's acknowledgement while none can be chosen.
+    /// Time to wait for a keeper's acknowledgement while no other keeper can be
+    /// chosen.
     pub alone_ms: u64,
-    /// Wait of a call for an earlier number of its program.
+    /// Time that a call waits for calls of its program with lower numbers.
     pub turn_ms: u64,
-    /// How long ended programs and single calls are remembered.
+    /// Retention of ended programs and of calls without a program.
     pub retain_ms: u64,
-    /// How long an engine may hold cache for a program that it hears
-    /// nothing of.
+    /// Time without calls after which the cache of a program at an engine is
+    /// released.
     pub cache_ms: u64,
-    /// Calls of one program that may wait for their turn.
+    /// Most calls of a program that wait for calls with lower numbers.
     pub turns_ahead: u64,
-    /// Calls of one shard that may wait for a takeover.
+    /// Most requests that wait for the takeover of a shard.
     pub parked: usize,
-    /// Programs that one entry owns.
+    /// Most programs that an entry owns.
     pub programs: usize,
-    /// Servers that are tried for one call.
+    /// Most servers that are tried for a call.
     pub tries: u32,
 }
 
@@ -60,42 +64,43 @@
 }
 
 impl Rules {
-    /// Returns the silence after which a keeper is replaced.
+    /// Returns the time without a link after which a keeper is replaced.
     pub fn keeper_wait(&self) -> Duration {
         Duration::from_millis(self.keeper_ms)
     }
 
-    /// Returns the silence after which an owner is replaced.
+    /// Returns the time without a link after which an owner is replaced.
     pub fn takeover_wait(&self) -> Duration {
         Duration::from_millis(self.takeover_ms)
     }
 
-    /// Returns the wait for a keeper's copy.
+    /// Returns the time to wait for a keeper's copy during a takeover.
     pub fn cold_wait(&self) -> Duration {
         Duration::from_millis(self.cold_ms)
     }
 
-    /// Returns the wait for a server that may have run a call.
+    /// Returns the time to wait for a server that may have run a call.
     pub fn settle_wait(&self) -> Duration {
         Duration::from_millis(self.settle_ms)
     }
 
-    /// Returns the wait for an acknowledgement without a keeper.
+    /// Returns the time to wait for an acknowledgement if no keeper can be
+    /// chosen.
     pub fn alone_wait(&self) -> Duration {
         Duration::from_millis(self.alone_ms)
     }
 
-    /// Returns the wait of a call for its turn.
+    /// Returns the time that a call waits for calls with lower numbers.
     pub fn turn_wait(&self) -> Duration {
         Duration::from_millis(self.turn_ms)
     }
 
-    /// Returns how long what has ended is remembered.
+    /// Returns the retention of ended programs and of calls without a program.
     pub fn retention(&self) -> Duration {
         Duration::from_millis(self.retain_ms)
     }
 
-    /// Returns how long cache of a silent program is held.
+    /// Returns the time without calls after which a program's cache is released.
     pub fn cache_wait(&self) -> Duration {
         Duration::from_millis(self.cache_ms)
     }
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -1,5 +1,5 @@
-//! Event streams of model engines: their events, and the whole answer that
-//! the pieces add up to.
+//! Parses event streams of model engines and assembles the complete answer from
+//! their events.
 
 use serde_json::Value;
 use serde_json::json;
@@ -7,21 +7,22 @@
 use crate::history::Turn;
 
 /// Data of the event that ends a stream.
-const END: &str = "[DONE]";
+const END_MARKER: &str = "[DONE]";
 
 /// One event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SseEvent {
-    /// A piece of the answer: its bytes as they came, with the blank line.
+    /// Part of the answer: the unchanged bytes, with the blank line at the end.
     Piece(Vec<u8>),
-    /// The end mark.
+    /// The event that ends the stream.
     End,
 }
 
-/// Cuts a byte stream into events and adds up the answer.
+/// Splits a byte stream into events and assembles the answer.
 #[derive(Clone, Debug, Default)]
 pub struct Assembler {
-    rest: Vec<u8>,
+    /// Bytes of an event that is not yet complete.
+    buffer: Vec<u8>,
     role: Option<String>,
     content: String,
     tool_calls: Vec<Value>,
@@ -31,16 +32,16 @@
 }
 
 impl Assembler {
-    /// Takes bytes and returns the events that they complete.
+    /// Appends bytes of the stream and returns the events completed by them.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<SseEvent> {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = self.rest.windows(2).position(|pair| pair == b"\n\n") {
-            let event: Vec<u8> = self.rest.drain(..end + 2).collect();
+        while let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") {
+            let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
             let text = String::from_utf8_lossy(&event).into_owned();
             let data = text.lines().find_map(|line| line.strip_prefix("data:"));
             match data.map(str::trim) {
-                Some(END) => events.push(SseEvent::End),
+                Some(END_MARKER) => events.push(SseEvent::End),
                 Some(data) => {
                     if let Ok(value) = serde_json::from_str(data) {
                         self.add(&value);
@@ -82,21 +83,22 @@
             return;
         }
         if index == self.tool_calls.len() {
-            let whole = json!({"id": piece["id"], "type": "function",
+            let empty_call = json!({"id": piece["id"], "type": "function",
                                "function": {"name": "", "arguments": ""}});
-            self.tool_calls.push(whole);
+            self.tool_calls.push(empty_call);
         }
         for field in ["name", "arguments"] {
             let Some(more) = piece["function"][field].as_str() else {
                 continue;
             };
-            let slot = &mut self.tool_calls[index]["function"][field];
-            let have = slot.as_str().unwrap_or_default().to_owned();
-            *slot = Value::String(have + more);
+            let value = &mut self.tool_calls[index]["function"][field];
+            let text = value.as_str().unwrap_or_default().to_owned();
+            *value = Value::String(text + more);
         }
     }
 
-    /// Returns the tokens of prompt and answer that the engine counted.
+    /// Returns the number of tokens of prompt and answer as reported by the
+    /// engine; zero if it reported none.
     pub fn tokens(&self) -> u64 {
         let usage = self.usage.as_ref();
         usage
@@ -104,7 +106,7 @@
             .unwrap_or(0)
     }
 
-    /// Returns the message that the answer adds to a history.
+    /// Returns the message that the answer appends to a history.
     pub fn turn(&self) -> Turn {
         Turn::new(self.message().to_string())
     }
@@ -118,7 +120,7 @@
         message
     }
 
-    /// Returns the whole answer as a caller expects it that did not ask for
+    /// Returns the complete answer in the format for callers that did not request
     /// a stream.
     pub fn whole(&self, id: &str) -> Value {
         json!({
--- a/lib/tests/events.rs
+++ b/lib/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams cut anywhere give the same events.
+//! Event streams yield the same events wherever the bytes are split into pieces.
 
 use limpetferry_lib::events::Event;
 use limpetferry_lib::events::Splitter;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_within_an_event_shows_it() {
+fn a_stream_that_ends_within_an_event_is_detected() {
     let whole = stream();
     let mut splitter = Splitter::default();
 
@@ -58,17 +58,17 @@
 
 proptest! {
     #[test]
-    fn where_a_stream_is_cut_makes_no_difference(cuts in prop::collection::vec(0_usize..150, 0..6)) {
+    fn events_do_not_depend_on_where_a_stream_is_split(cuts in prop::collection::vec(0_usize..150, 0..6)) {
         let whole = stream();
         let mut cuts: Vec<usize> = cuts.into_iter().map(|cut| cut.min(whole.len())).collect();
         cuts.sort_unstable();
         let mut pieces = Vec::new();
-        let mut from = 0;
+        let mut start = 0;
         for cut in cuts {
-            pieces.push(&whole[from..cut]);
-            from = cut;
+            pieces.push(&whole[start..cut]);
+            start = cut;
         }
-        pieces.push(&whole[from..]);
+        pieces.push(&whole[start..]);
 
         prop_assert_eq!(split(&pieces), split(&[&whole]));
     }
--- a/lib/tests/examples.rs
+++ b/lib/tests/examples.rs
@@ -1,5 +1,5 @@
-//! The example documents pass the check that operators' documents pass, and
-//! faulty ones are refused with every fault and its remedy.
+//! Validation of operators' documents: the example documents are valid, and for
+//! an invalid document all faults are reported, each with its remedy.
 
 use std::fs;
 use std::path::Path;
@@ -10,8 +10,8 @@
 
 fn example(name: &str) -> Value {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples");
-    let text = fs::read_to_string(root.join(name)).expect("the example is there");
-    serde_json::from_str(&text).expect("the example is JSON")
+    let text = fs::read_to_string(root.join(name)).expect("the example file can be read");
+    serde_json::from_str(&text).expect("the example is valid JSON")
 }
 
 #[test]
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn every_fault_is_listed_with_its_path() {
+fn every_fault_is_reported_with_its_path() {
     let mut document = example("registrars.json");
     document["deployments"]["register"]["limits"]["running"] = json!(0);
     document["deployments"]["register"]["models"]["cask-7b"]["servers"] = json!(["nobody"]);
     document["deployments"]["register"]["weights"]["waste"] = json!(-1.0);
 
-    let faults = Document::parse(&document).expect_err("it is faulty");
+    let faults = Document::parse(&document).expect_err("the document is invalid");
 
     let paths: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
     assert_eq!(
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn unknown_fields_are_refused() {
+fn unknown_fields_are_rejected() {
     let mut document = example("clydeforth.json");
     document["deployments"]["drafts"]["limits"]["runing"] = json!(4);
 
-    let faults = Document::parse(&document).expect_err("it is faulty");
+    let faults = Document::parse(&document).expect_err("the document is invalid");
 
     assert!(faults[0].remedy.contains("runing"), "{faults:?}");
 }
--- a/lib/tests/tenants.rs
+++ b/lib/tests/tenants.rs
@@ -1,5 +1,5 @@
-//! A program is its own operator's and deployment's; nobody else reads it,
-//! ends it, continues it, settles its calls or hangs a sub-agent on it.
+//! Isolation of tenants: only the operator that a program belongs to can read,
+//! end or continue it, settle its calls or open sub-agents of it.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     calls: 5,
 };
 
-/// An entry whose keeper acknowledges everything at once.
+/// An entry whose keeper acknowledges every change immediately.
 struct Fixture {
     entry: Entry,
     callers: u64,
@@ -104,10 +104,11 @@
         fixture
     }
 
-    /// Handles an event, and answers for the keeper; returns the last word.
+    /// Handles an event and acknowledges the resulting changes as the keeper.
+    /// Returns the final reply to the caller, if there is one.
     fn step(&mut self, event: Event) -> Option<Reply> {
         let mut events = vec![event];
-        let mut word = None;
+        let mut last_reply = None;
         while let Some(event) = events.pop() {
             let mut out = Vec::new();
             self.entry.step(at(1_000), event, &mut out);
@@ -126,15 +127,15 @@
                             message: Message::Kept { shard, epoch, seq },
                         },
                     ),
-                    Effect::Finish { reply, .. } => word = Some(reply),
+                    Effect::Finish { reply, .. } => last_reply = Some(reply),
                     _ => {}
                 }
             }
         }
-        word
+        last_reply
     }
 
-    fn ask(&mut self, request: Request) -> Option<Reply> {
+    fn submit(&mut self, request: Request) -> Option<Reply> {
         self.callers += 1;
         let caller = CallerKey(self.callers);
         self.step(Event::Caller {
@@ -145,7 +146,7 @@
     }
 
     fn refusal(&mut self, request: Request) -> Option<Code> {
-        match self.ask(request) {
+        match self.submit(request) {
             Some(Reply::Refused(refusal)) => Some(refusal.code),
             _ => None,
         }
@@ -162,7 +163,7 @@
     })
 }
 
-fn of(operator: &str) -> ProgramRequest {
+fn program_request(operator: &str) -> ProgramRequest {
     ProgramRequest {
         program: PROGRAM,
         operator: Operator::new(operator),
@@ -206,26 +207,26 @@
 #[test]
 fn another_operator_gets_nothing_of_a_program() {
     let mut fixture = Fixture::new();
-    let opened = fixture.ask(open("ours", PROGRAM, None));
+    let opened = fixture.submit(open("ours", PROGRAM, None));
     assert!(matches!(opened, Some(Reply::Program(_))), "{opened:?}");
     let child = ProgramId { root: 1, leaf: 3 };
 
-    let read = fixture.refusal(Request::Read(of("theirs")));
+    let read = fixture.refusal(Request::Read(program_request("theirs")));
     let settled = fixture.refusal(judgement("theirs"));
     let called = fixture.refusal(call("theirs"));
-    let hung_on = fixture.refusal(open("theirs", child, Some(PROGRAM)));
-    let ended = fixture.refusal(Request::End(of("theirs")));
+    let attached = fixture.refusal(open("theirs", child, Some(PROGRAM)));
+    let ended = fixture.refusal(Request::End(program_request("theirs")));
 
-    let refusals = [read, settled, called, hung_on, ended];
+    let refusals = [read, settled, called, attached, ended];
     assert_eq!(refusals, [Some(Code::BadKey); 5]);
 }
 
 #[test]
 fn another_operator_gets_no_answer_of_a_call_under_way() {
     let mut fixture = Fixture::new();
-    fixture.ask(open("ours", PROGRAM, None));
-    let started = fixture.ask(call("ours"));
-    assert_eq!(started, None, "it runs");
+    fixture.submit(open("ours", PROGRAM, None));
+    let started = fixture.submit(call("ours"));
+    assert_eq!(started, None, "the call is running");
 
     let other = fixture.refusal(call("theirs"));
 
@@ -233,12 +234,12 @@
 }
 
 #[test]
-fn the_programs_own_operator_reads_and_ends_it() {
+fn the_programs_operator_can_read_and_end_it() {
     let mut fixture = Fixture::new();
-    fixture.ask(open("ours", PROGRAM, None));
+    fixture.submit(open("ours", PROGRAM, None));
 
-    let read = fixture.ask(Request::Read(of("ours")));
-    let ended = fixture.ask(Request::End(of("ours")));
+    let read = fixture.submit(Request::Read(program_request("ours")));
+    let ended = fixture.submit(Request::End(program_request("ours")));
 
     assert!(matches!(read, Some(Reply::Program(_))), "{read:?}");
     let view = match ended {
