--- a/testutils/src/soak.rs
+++ b/testutils/src/soak.rs
@@ -1,7 +1,7 @@
-//! A randomized soak: gateways and keepers as processes of their own, callers
-//! that keep their connections, and faults from outside that come in series
-//! and overlap. What callers and servers saw is checked against what the
-//! product promises.
+//! Randomized soak test. Runs gateways and keepers as separate processes, with
+//! callers that reuse their connections, and injects series of overlapping
+//! external faults. Checks what callers and servers observed against the
+//! product's promises.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,40 +21,41 @@
 use crate::wire::Way;
 use crate::wire::Wire;
 
-/// Version of the first routing document with workspaces.
+/// Version of the first routing document with workspaces. The site starts with
+/// version 1, which has none.
 const FIRST_VERSION: u64 = 2;
-/// Gateways of the site.
 const GATEWAYS: usize = 2;
-/// Keepers of the site; one may lose its disk at a time.
+/// Only one of them may be without its disk's data at a time.
 const KEEPERS: usize = 4;
-/// Keepers that may be lost at once.
-const FAULTS: usize = 1;
-/// Callers at once.
+/// Number of keepers that may be lost at once.
+const TOLERATED_LOSSES: usize = 1;
+/// Number of concurrent callers.
 const CALLERS: usize = 6;
-/// Longest time that a fault lasts, in milliseconds; a link that is silent is
-/// found within 2 s and dialled anew.
-const LONGEST_FAULT: u64 = 1_500;
-/// Longest pause between two faults, so that some overlap.
-const LONGEST_PAUSE: u64 = 700;
-/// Requests in a row that a server treats badly: enough that callers of each
-/// kind meet one.
-const BEHAVES: usize = 5;
-/// Longest time after the last fault until everything is served again: links
-/// are dialled anew within a second, and a keeper that is back copies.
-const RECOVERY: Duration = Duration::from_secs(20);
+/// Longest duration of a fault, in milliseconds. A silent link is detected and
+/// redialled within 2 s.
+const MAX_FAULT_MS: u64 = 1_500;
+/// Longest pause between two faults, in milliseconds; short enough that some
+/// faults overlap.
+const MAX_PAUSE_MS: u64 = 700;
+/// Number of consecutive requests that a server mishandles: enough that each
+/// kind of caller encounters one.
+const MISHANDLED_REQUESTS: usize = 5;
+/// Time limit after the last fault for all gateways to serve again: links are
+/// redialled within a second, and a restarted keeper first copies its data.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What was seen in a run that held.
+/// Counts of a run that broke no promise.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
-    /// Attempts of callers.
+    /// Attempts that callers sent.
     pub attempts: usize,
-    /// Those that were answered whole.
+    /// Attempts with a complete and successful answer.
     pub answered: usize,
-    /// Faults that were injected.
+    /// Injected faults.
     pub faults: usize,
 }
 
-/// Something that goes wrong for a while.
+/// A fault that is injected and later undone.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KillGateway(usize),
@@ -80,7 +81,7 @@
     Drain(usize),
 }
 
-fn draw(random: &mut SmallRng) -> Fault {
+fn random_fault(random: &mut SmallRng) -> Fault {
     let gateway = random.random_range(0..GATEWAYS);
     let keeper = random.random_range(0..KEEPERS);
     let server = random.random_range(0..4);
@@ -120,34 +121,35 @@
     }
 }
 
-/// The site under faults.
+/// The site and the state of the faults injected into it.
 struct FaultySite {
     site: PlatformSite,
     version: u64,
-    /// What has to be undone, and when: the later faults of the same kind wait.
-    undo: Vec<(u64, Fault)>,
-    /// The keeper that lost its disk last: another one may lose its own only
-    /// once it has copied.
+    /// Active faults, each with the time at which it is undone, in milliseconds
+    /// from the start. Conflicting faults are not injected meanwhile.
+    active: Vec<(u64, Fault)>,
+    /// Keeper whose disk was wiped last, until it has copied its data again. No
+    /// other disk is wiped before that.
     wiped: Option<usize>,
-    /// What was done, and when, for a run that fails.
+    /// Log of injected and undone faults, reported if the run fails.
     trace: Vec<String>,
 }
 
 impl FaultySite {
-    /// Returns whether a fault of the same process or wire is still there.
+    /// Returns whether another fault on the same gateway or keeper is active.
     fn is_busy(&self, fault: Fault) -> bool {
         let busy = |other: &Fault| match (fault, *other) {
-            (Fault::KillKeepers, other) | (other, Fault::KillKeepers) => keeper(other).is_some(),
+            (Fault::KillKeepers, other) | (other, Fault::KillKeepers) => keeper_of(other).is_some(),
             (a, b) => {
-                let same = keeper(a).is_some() && keeper(a) == keeper(b);
-                same || (gateway(a).is_some() && gateway(a) == gateway(b))
+                let same = keeper_of(a).is_some() && keeper_of(a) == keeper_of(b);
+                same || (gateway_of(a).is_some() && gateway_of(a) == gateway_of(b))
             }
         };
-        self.undo.iter().any(|(_, other)| busy(other))
+        self.active.iter().any(|(_, other)| busy(other))
     }
 
-    /// Returns whether a fault leaves enough disks: only one may be lost before
-    /// its keeper has copied again.
+    /// Returns whether the fault leaves enough disks intact: after one disk is
+    /// wiped, no other may be until its keeper has copied the data again.
     async fn may_wipe(&mut self, fault: Fault) -> bool {
         if !matches!(fault, Fault::WipeKeeper(_)) {
             return true;
@@ -186,16 +188,16 @@
             Fault::CutKeeper(number) => site.wires.keepers[number].set_cut(true),
             Fault::SilenceKeeper(number, way) => site.wires.keepers[number].silence(way),
             Fault::ResetKeeper(number) => site.wires.keepers[number].reset(),
-            Fault::SlowKeeper(number) => slow(&site.wires.keepers[number], random),
+            Fault::SlowKeeper(number) => set_random_delay(&site.wires.keepers[number], random),
             Fault::CutStore => site.wires.store[0].set_cut(true),
             Fault::ResetStore => site.wires.store[0].reset(),
             Fault::LoseStoreAnswers => site.wires.store[0].silence(Way::Back),
             Fault::ResetServer(number) => site.wires.servers[number].reset(),
             Fault::SilenceServer(number) => site.wires.servers[number].silence(Way::Both),
-            Fault::SlowServer(number) => slow(&site.wires.servers[number], random),
+            Fault::SlowServer(number) => set_random_delay(&site.wires.servers[number], random),
             Fault::Behave(number, behaviour) => {
                 let all = [&site.engines[..], &site.plain].concat();
-                all[number].behave([behaviour; BEHAVES]);
+                all[number].behave([behaviour; MISHANDLED_REQUESTS]);
             }
             Fault::Routing => {
                 self.version += 1;
@@ -237,14 +239,15 @@
     }
 }
 
-/// Ids of the servers, in the order in which they were added.
+/// Server ids, in the order in which the servers were added.
 const SERVERS: [&str; 4] = ["engine-0", "plain-0", "engine-1", "plain-1"];
 
-fn slow(wire: &Wire, random: &mut SmallRng) {
+fn set_random_delay(wire: &Wire, random: &mut SmallRng) {
     wire.set_delay(Duration::from_millis(random.random_range(5..150)));
 }
 
-fn keeper(fault: Fault) -> Option<usize> {
+/// Returns the keeper that the fault affects, or [`KEEPERS`] for all of them.
+fn keeper_of(fault: Fault) -> Option<usize> {
     match fault {
         Fault::KillKeeper(number)
         | Fault::FreezeKeeper(number)
@@ -259,7 +262,7 @@
     }
 }
 
-fn gateway(fault: Fault) -> Option<usize> {
+fn gateway_of(fault: Fault) -> Option<usize> {
     match fault {
         Fault::KillGateway(number) | Fault::StopGateway(number) | Fault::FreezeGateway(number) => {
             Some(number)
@@ -268,11 +271,12 @@
     }
 }
 
-/// Runs one seed, with faults for `length`, and checks what was seen.
+/// Runs the soak with one seed, injecting faults for `length`, and checks what
+/// callers and servers observed.
 ///
 /// # Errors
 ///
-/// Returns every promise that did not hold.
+/// Returns every broken promise, followed by the log of the faults.
 pub async fn run(seed: u64, length: Duration) -> Result<Summary, Vec<String>> {
     let mut random = SmallRng::seed_from_u64(seed);
     let switches = Switches {
@@ -281,7 +285,8 @@
         overload: true,
         ..Switches::default()
     };
-    let site = PlatformSite::start_wired_switched(GATEWAYS, KEEPERS, FAULTS, switches).await;
+    let site =
+        PlatformSite::start_wired_switched(GATEWAYS, KEEPERS, TOLERATED_LOSSES, switches).await;
     site.store.put("op/config", &keyed_routing(FIRST_VERSION));
     for number in 0..GATEWAYS {
         site.wait_for_routing(number, FIRST_VERSION).await;
@@ -298,17 +303,17 @@
     let mut faulty = FaultySite {
         site,
         version: FIRST_VERSION,
-        undo: Vec::new(),
+        active: Vec::new(),
         wiped: None,
         trace: Vec::new(),
     };
-    let faults = disturb(&mut faulty, length, &mut random).await;
+    let faults = inject_faults(&mut faulty, length, &mut random).await;
     let mut broken = Vec::new();
     let ended = faulty.site.ended();
     if !ended.is_empty() {
-        broken.push(format!("these processes ended by themselves: {ended:?}"));
+        broken.push(format!("processes exited unexpectedly: {ended:?}"));
     }
-    broken.extend(recover(&faulty, &records).await.err());
+    broken.extend(wait_for_recovery(&faulty, &records).await.err());
     drop(stop);
     for caller in callers {
         caller.await;
@@ -321,7 +326,7 @@
     if broken.is_empty() {
         Ok(Summary {
             attempts: records.len(),
-            answered: records.iter().filter(|record| record.is_whole()).count(),
+            answered: records.iter().filter(|record| record.is_complete()).count(),
             faults,
         })
     } else {
@@ -330,46 +335,47 @@
     }
 }
 
-/// Injects faults for `length`, undoes all of them and returns their number.
-async fn disturb(faulty: &mut FaultySite, length: Duration, random: &mut SmallRng) -> usize {
+/// Injects faults for `length`, undoes all of them, and returns how many there
+/// were.
+async fn inject_faults(faulty: &mut FaultySite, length: Duration, random: &mut SmallRng) -> usize {
     let length = length.as_millis() as u64;
     let (mut now, mut count) = (0, 0);
     while now < length {
-        let fault = draw(random);
+        let fault = random_fault(random);
         if !faulty.is_busy(fault) && faulty.may_wipe(fault).await {
             faulty.trace.push(format!("{now} ms: {fault:?}"));
             faulty.inject(fault, random).await;
-            let lasts = random.random_range(50..LONGEST_FAULT);
-            faulty.undo.push((now + lasts, fault));
+            let duration = random.random_range(50..MAX_FAULT_MS);
+            faulty.active.push((now + duration, fault));
             count += 1;
         }
-        let pause = random.random_range(0..LONGEST_PAUSE);
+        let pause = random.random_range(0..MAX_PAUSE_MS);
         smol::Timer::after(Duration::from_millis(pause)).await;
         now += pause;
-        let (due, later) = faulty.undo.drain(..).partition(|(at, _)| *at <= now);
-        faulty.undo = later;
+        let (due, later) = faulty.active.drain(..).partition(|(at, _)| *at <= now);
+        faulty.active = later;
         for (_, fault) in due {
-            faulty.trace.push(format!("{now} ms: over: {fault:?}"));
+            faulty.trace.push(format!("{now} ms: undone: {fault:?}"));
             faulty.undo(fault, random).await;
         }
     }
-    for (_, fault) in std::mem::take(&mut faulty.undo) {
+    for (_, fault) in std::mem::take(&mut faulty.active) {
         faulty.undo(fault, random).await;
     }
     count
 }
 
-/// Waits until each gateway serves a turn that goes on from an old one.
-async fn recover(faulty: &FaultySite, records: &Records) -> Result<(), String> {
+/// Waits until each gateway serves a turn that continues one from the run.
+async fn wait_for_recovery(faulty: &FaultySite, records: &Records) -> Result<(), String> {
     let site = &faulty.site;
-    let old = records
+    let earlier = records
         .all()
         .into_iter()
-        .find(|record| record.is_turn() && record.is_whole());
-    let Some(old) = old else {
-        return Err("no turn was answered in the whole run".to_owned());
+        .find(|record| record.is_turn() && record.is_complete());
+    let Some(earlier) = earlier else {
+        return Err("no turn was answered completely during the run".to_owned());
     };
-    let key = old.workspace.map_or("", |(_, key)| key);
+    let key = earlier.workspace.map_or("", |(_, key)| key);
     let token = format!("Token {key}");
     let all = async {
         for number in 0..GATEWAYS {
@@ -380,7 +386,7 @@
                     ("x-program-id", program.as_str()),
                     ("x-session-id", "line"),
                     ("x-token-usage", "10,50"),
-                    ("x-previous-turn", &old.attempt),
+                    ("x-previous-turn", &earlier.attempt),
                 ];
                 let answer = site
                     .send(number, "POST", "/stream/kept/a", &headers, "more")
@@ -389,8 +395,8 @@
                     Ok(answer) if answer.status == 200 && answer.whole => break,
                     Ok(answer) if answer.status == 404 => {
                         return Err(format!(
-                            "turn {} is not found after the faults",
-                            old.attempt
+                            "turn {} is unknown after the faults",
+                            earlier.attempt
                         ));
                     }
                     _ => smol::Timer::after(Duration::from_millis(100)).await,
@@ -399,37 +405,37 @@
         }
         Ok(())
     };
-    limpetferry_net::timeout::within(RECOVERY, all)
+    limpetferry_net::timeout::within(RECOVERY_TIMEOUT, all)
         .await
         .unwrap_or_else(|| {
             Err(format!(
-                "not all gateways serve {RECOVERY:?} after the last fault"
+                "some gateways did not serve within {RECOVERY_TIMEOUT:?} after the last fault"
             ))
         })
 }
 
-/// Returns what was promised and did not hold.
+/// Returns the promises that the records and runs show to be broken.
 fn check(records: &[Record], runs: &[Run]) -> Vec<String> {
     let mut by_attempt: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in runs {
         by_attempt.entry(&run.attempt).or_default().push(run);
     }
     let mut broken = Vec::new();
-    let mut handed: HashMap<&str, (u64, u64)> = HashMap::new();
+    let mut token_totals: HashMap<&str, (u64, u64)> = HashMap::new();
     for record in records {
         let runs = by_attempt
             .get(record.attempt.as_str())
             .map_or(&[][..], Vec::as_slice);
-        broken.extend(record.broken(runs));
+        broken.extend(record.broken_promises(runs));
         if let Some(budget) = record.budget {
-            let program = handed.entry(&record.program).or_insert((0, budget));
-            program.0 += record.tokens();
+            let received = token_totals.entry(&record.program).or_insert((0, budget));
+            received.0 += record.tokens();
         }
     }
-    for (program, (tokens, budget)) in handed {
-        if tokens > budget + Caller::MOST_TOKENS {
+    for (program, (tokens, budget)) in token_totals {
+        if tokens > budget + Caller::MAX_TURN_TOKENS {
             broken.push(format!(
-                "program {program} was handed {tokens} tokens of {budget}"
+                "program {program} received {tokens} tokens; its budget is {budget}"
             ));
         }
     }
--- a/testutils/src/soak_caller.rs
+++ b/testutils/src/soak_caller.rs
@@ -1,5 +1,5 @@
-//! A caller of the soak: programs of turns with lookups and transfers between
-//! them, over connections that are kept until they end.
+//! A caller in the soak test. Runs programs of turns, with a lookup and a
+//! transfer after each turn, over connections that are reused until they close.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -24,58 +24,63 @@
 use crate::platform_site::HOST;
 use crate::platform_site::WORKSPACES;
 
-/// Longest wait for an answer: the routes' 3 s and what a frozen process adds.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Tokens of an event in the tests' routing document.
+/// Longest wait for an answer: the routes' time-out of 3 s plus the delay that
+/// a frozen process adds.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Tokens charged for an event according to the tests' routing document.
 const EVENT_TOKENS: u64 = 10;
-/// Tries of a turn before its program is given up.
+/// Number of times that a turn is sent before its program is abandoned.
 const TRIES: usize = 3;
-/// Attempts of a caller of which one carries a key that nobody has.
-const FORGED: u64 = 7;
-/// A key that nobody has.
-const NO_KEY: &str = "a-key-that-nobody-has";
-/// Bytes of a first input, some of them in one frame of a link.
-const PROMPT: usize = 6_000;
+/// A lookup or transfer whose attempt number is a multiple of this is sent with
+/// [`UNKNOWN_KEY`].
+const UNKNOWN_KEY_INTERVAL: u64 = 7;
+/// A key that belongs to no workspace.
+const UNKNOWN_KEY: &str = "a-key-that-nobody-has";
+/// Size of the prompt in a program's first input, in bytes; several of them fit
+/// into one frame of a link.
+const PROMPT_BYTES: usize = 6_000;
 
 /// What kind of request an attempt was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    /// A turn whose history is kept; it runs once at most.
+    /// A turn whose history is retained; it runs at most once.
     Turn,
-    /// A request that runs once at most.
+    /// A request that runs at most once.
     Write,
-    /// A request that may run twice.
+    /// An idempotent request; it runs at most twice.
     Read,
 }
 
-/// What a caller saw of one attempt.
+/// An attempt as its caller observed it.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Its id.
+    /// Id of the attempt.
     pub attempt: String,
-    /// Its program.
+    /// Id of the program.
     pub program: String,
-    /// The program's budget.
+    /// The program's token budget, for turns.
     pub budget: Option<u64>,
-    /// The caller's workspace and its key; `None` if it sent another key.
+    /// Name and key of the caller's workspace; `None` if it sent
+    /// [`UNKNOWN_KEY`].
     pub workspace: Option<(&'static str, &'static str)>,
     kind: Kind,
     path: String,
-    /// What a server has to receive.
-    wanted: Bytes,
-    /// Whether what it goes on from was answered whole.
-    known: bool,
+    /// Body that a server must receive.
+    expected_body: Bytes,
+    /// Whether it continues a turn that was answered completely.
+    continues_known_turn: bool,
     status: Option<u16>,
     body: Bytes,
-    whole: bool,
+    /// Whether the answer arrived up to its end.
+    complete: bool,
 }
 
-/// What all callers saw; clones share it.
+/// Records of all callers; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Records(Arc<Mutex<Vec<Record>>>);
 
 impl Records {
-    /// Returns those that were made so far.
+    /// Returns the records made so far.
     ///
     /// # Panics
     ///
@@ -84,7 +89,7 @@
         self.0.lock().expect("no panic while locked").clone()
     }
 
-    /// Adds one.
+    /// Adds a record.
     ///
     /// # Panics
     ///
@@ -95,17 +100,16 @@
 }
 
 impl Record {
-    /// Returns whether it was answered whole and with success.
-    pub fn is_whole(&self) -> bool {
-        self.status == Some(200) && self.whole
+    /// Returns whether the answer is complete and successful.
+    pub fn is_complete(&self) -> bool {
+        self.status == Some(200) && self.complete
     }
 
-    /// Returns whether it was a turn.
     pub fn is_turn(&self) -> bool {
         self.kind == Kind::Turn
     }
 
-    /// Returns the tokens that were handed to the caller.
+    /// Returns the number of tokens that the caller received.
     pub fn tokens(&self) -> u64 {
         let text = String::from_utf8_lossy(&self.body);
         let events = text.matches("\n\n").count() as u64;
@@ -116,107 +120,108 @@
         }
     }
 
-    /// Returns what was promised and did not hold, given the runs of servers.
-    pub fn broken(&self, runs: &[&Run]) -> Vec<String> {
+    /// Returns the promises that this attempt and its runs on servers show to be
+    /// broken.
+    pub fn broken_promises(&self, runs: &[&Run]) -> Vec<String> {
         let mut broken = Vec::new();
         let mut fail = |what: &str| {
-            let seen = (self.kind, self.status, self.whole, runs.len());
+            let seen = (self.kind, self.status, self.complete, runs.len());
             broken.push(format!(
-                "attempt {}: {what}; kind, status, whole, runs: {seen:?}",
+                "attempt {}: {what}; kind, status, complete, runs: {seen:?}",
                 self.attempt
             ));
         };
-        let most = if self.kind == Kind::Read { 2 } else { 1 };
-        if runs.len() > most {
-            fail("it ran too often");
+        let allowed = if self.kind == Kind::Read { 2 } else { 1 };
+        if runs.len() > allowed {
+            fail("it ran more often than its kind allows");
         }
         if [402, 404, 408, 421, 429, 503].contains(&self.status.unwrap_or(0)) && !runs.is_empty() {
-            fail("it ran though the answer says that it did not");
+            fail("it ran, but the status says that it did not");
         }
-        if self.is_whole() && runs.is_empty() {
-            fail("it was answered and no server ran it");
+        if self.is_complete() && runs.is_empty() {
+            fail("it was answered completely, but no server ran it");
         }
         if self.workspace.is_none() && !runs.is_empty() {
-            fail("it ran with a key that nobody has");
+            fail("it ran with an unknown key");
         }
         if self.workspace.is_some() && self.status == Some(401) {
-            fail("a key that all documents hold is said to be unknown");
+            fail("a key that all documents contain was rejected as unknown");
         }
-        if runs.iter().any(|run| !self.names_sender(run)) {
-            fail("a server was told another workspace, or the key");
+        if runs.iter().any(|run| !self.identifies_caller(run)) {
+            fail("a server received another workspace's name or the caller's key");
         }
-        if runs.iter().any(|run| run.body != self.wanted) {
-            fail("a server received something else than history and input");
+        if runs.iter().any(|run| run.body != self.expected_body) {
+            fail("a server received a body other than history and input");
         }
-        if self.status == Some(404) && self.known {
-            fail("a turn that was answered whole is said not to exist");
+        if self.status == Some(404) && self.continues_known_turn {
+            fail("a completely answered turn was reported as not found");
         }
-        if self.status == Some(200) && !self.is_right() {
-            fail("the answer is not what the server made");
+        if self.status == Some(200) && !self.is_correct() {
+            fail("the answer differs from the server's output");
         }
         broken
     }
 
-    fn names_sender(&self, run: &Run) -> bool {
-        let told = run.headers.get("x-tenant").map(|name| name.as_bytes());
+    fn identifies_caller(&self, run: &Run) -> bool {
+        let received = run.headers.get("x-tenant").map(|name| name.as_bytes());
         let own = self.workspace.map(|(name, _)| name.as_bytes());
-        told == own && !run.headers.contains_key("authorization")
+        received == own && !run.headers.contains_key("authorization")
     }
 
-    /// Returns whether the answer is right as far as it came.
-    fn is_right(&self) -> bool {
-        let wanted = match self.kind {
+    /// Returns whether the answer, which may be cut off, is correct so far.
+    fn is_correct(&self) -> bool {
+        let expected_body = match self.kind {
             Kind::Turn => whole_stream(),
             Kind::Write | Kind::Read => format!("answer to {}", self.path),
         };
-        if self.whole {
-            self.body == wanted
+        if self.complete {
+            self.body == expected_body
         } else {
-            wanted.as_bytes().starts_with(&self.body)
+            expected_body.as_bytes().starts_with(&self.body)
         }
     }
 }
 
-/// One caller.
+/// A caller with a connection to each gateway.
 pub struct Caller {
     number: usize,
     workspace: (&'static str, &'static str),
     random: SmallRng,
     gateways: Vec<String>,
-    kept: Vec<Option<Sender>>,
+    connections: Vec<Option<Sender>>,
     records: Records,
     attempts: u64,
 }
 
 impl Caller {
-    /// Most tokens of one turn.
-    pub const MOST_TOKENS: u64 = EVENTS * EVENT_TOKENS;
+    /// Largest number of tokens of one turn.
+    pub const MAX_TURN_TOKENS: u64 = EVENTS * EVENT_TOKENS;
 
-    /// Makes a caller of these gateways.
+    /// Creates a caller of the gateways at these addresses.
     pub fn new(number: usize, seed: u64, gateways: Vec<String>, records: Records) -> Self {
         Self {
             number,
             workspace: WORKSPACES[number % WORKSPACES.len()],
             random: SmallRng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(number as u64)),
-            kept: gateways.iter().map(|_| None).collect(),
+            connections: gateways.iter().map(|_| None).collect(),
             gateways,
             records,
             attempts: 0,
         }
     }
 
-    /// Sends programs until `stop` is closed.
+    /// Runs programs one after another until `stop` is closed.
     pub async fn run(mut self, stop: async_channel::Receiver<()>) {
         let mut number = 0;
         while !stop.is_closed() {
-            self.program(number, &stop).await;
+            self.run_program(number, &stop).await;
             number += 1;
         }
     }
 
-    async fn program(&mut self, number: u64, stop: &async_channel::Receiver<()>) {
+    async fn run_program(&mut self, number: u64, stop: &async_channel::Receiver<()>) {
         let program = format!("program-{}-{number}", self.number);
-        let budget = Self::MOST_TOKENS * self.random.random_range(1..5);
+        let budget = Self::MAX_TURN_TOKENS * self.random.random_range(1..5);
         let mut previous: Option<String> = None;
         let mut history = Vec::new();
         for turn in 0..self.random.random_range(1..6) {
@@ -224,35 +229,39 @@
                 return;
             }
             let input = self.input(turn);
-            let wanted: Bytes = [&history[..], input.as_bytes()].concat().into();
-            let Some(attempt) = self.turn(&program, budget, &previous, &input, wanted).await else {
+            let expected_body: Bytes = [&history[..], input.as_bytes()].concat().into();
+            let Some(attempt) = self
+                .send_turn(&program, budget, &previous, &input, expected_body)
+                .await
+            else {
                 return;
             };
             previous = Some(attempt);
             history.extend_from_slice(input.as_bytes());
             history.extend_from_slice(whole_output().as_bytes());
-            self.calls(&program).await;
+            self.send_calls(&program).await;
         }
     }
 
-    /// Returns the input of a program's turn; first ones are longer.
+    /// Returns the input of a program's turn; the first one is longer.
     fn input(&mut self, turn: usize) -> String {
         let own = format!("input {} of caller {}", self.attempts, self.number);
         if turn > 0 {
             return own;
         }
-        let prompt = (0..PROMPT).map(|at| char::from(b'a' + (at * at % 23) as u8));
+        let prompt = (0..PROMPT_BYTES).map(|at| char::from(b'a' + (at * at % 23) as u8));
         prompt.chain(own.chars()).collect()
     }
 
-    /// Sends a turn until it is answered whole, and returns its attempt.
-    async fn turn(
+    /// Sends a turn until it is answered completely, and returns the id of that
+    /// attempt; `None` if the tries or the budget are used up.
+    async fn send_turn(
         &mut self,
         program: &str,
         budget: u64,
         previous: &Option<String>,
         input: &str,
-        wanted: Bytes,
+        expected_body: Bytes,
     ) -> Option<String> {
         for _ in 0..TRIES {
             let budget_text = budget.to_string();
@@ -268,20 +277,20 @@
                     .map(|turn| ("x-previous-turn", turn.as_str())),
             );
             let draft = Record {
-                attempt: self.attempt(),
+                attempt: self.next_attempt(),
                 program: program.to_owned(),
                 budget: Some(budget),
                 workspace: Some(self.workspace),
                 kind: Kind::Turn,
                 path: "/stream/kept/a".to_owned(),
-                wanted: wanted.clone(),
-                known: previous.is_some(),
+                expected_body: expected_body.clone(),
+                continues_known_turn: previous.is_some(),
                 status: None,
                 body: Bytes::new(),
-                whole: false,
+                complete: false,
             };
             let record = self.send(draft, "POST", &headers, input).await;
-            if record.is_whole() {
+            if record.is_complete() {
                 return Some(record.attempt);
             }
             if record.status == Some(402) {
@@ -294,36 +303,37 @@
     }
 
     /// Sends a lookup and a transfer.
-    async fn calls(&mut self, program: &str) {
+    async fn send_calls(&mut self, program: &str) {
         for (kind, method, name) in [(Kind::Read, "GET", "read"), (Kind::Write, "POST", "write")] {
             let number = self.random.random_range(0..100);
             let path = format!("/{name}/{number}");
             let body = if kind == Kind::Write { "transfer" } else { "" };
             let draft = Record {
-                attempt: self.attempt(),
+                attempt: self.next_attempt(),
                 program: program.to_owned(),
                 budget: None,
-                workspace: (!self.attempts.is_multiple_of(FORGED)).then_some(self.workspace),
+                workspace: (!self.attempts.is_multiple_of(UNKNOWN_KEY_INTERVAL))
+                    .then_some(self.workspace),
                 kind,
                 path,
-                wanted: Bytes::from_static(body.as_bytes()),
-                known: false,
+                expected_body: Bytes::from_static(body.as_bytes()),
+                continues_known_turn: false,
                 status: None,
                 body: Bytes::new(),
-                whole: false,
+                complete: false,
             };
             self.send(draft, method, &[("x-program-id", program)], body)
                 .await;
         }
     }
 
-    fn attempt(&mut self) -> String {
+    fn next_attempt(&mut self) -> String {
         self.attempts += 1;
-        // Apart from those that the site itself gives.
+        // Must differ from the ids that the site assigns to its own requests.
         format!("c{:03x}{:012x}", self.number, self.attempts)
     }
 
-    /// Sends an attempt, and notes what came of it.
+    /// Sends an attempt, and records the outcome.
     async fn send(
         &mut self,
         mut record: Record,
@@ -332,11 +342,11 @@
         body: &str,
     ) -> Record {
         let mut request = Request::builder().method(method).uri(&record.path);
-        let key = record.workspace.map_or(NO_KEY, |(_, key)| key);
+        let key = record.workspace.map_or(UNKNOWN_KEY, |(_, key)| key);
         request = request
             .header("host", HOST)
             .header("authorization", format!("Token {key}"))
-            // What a caller says of itself counts for nothing.
+            // The gateway must ignore a workspace name that the caller sends.
             .header("x-tenant", "forged")
             .header("x-attempt-id", &record.attempt);
         for (name, value) in headers {
@@ -345,8 +355,8 @@
         let request = request.body(Full::new(Bytes::from(body.to_owned())));
         let request = request.expect("the headers are valid");
         let gateway = self.random.random_range(0..self.gateways.len());
-        // What did not come in time counts as far as it came.
-        within(PATIENCE, self.exchange(gateway, request, &mut record)).await;
+        // After a time-out the record keeps the part that arrived.
+        within(ANSWER_TIMEOUT, self.exchange(gateway, request, &mut record)).await;
         self.records.add(record.clone());
         record
     }
@@ -373,12 +383,12 @@
             bytes.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
             record.body = Bytes::copy_from_slice(&bytes);
         }
-        record.whole = true;
-        self.kept[gateway] = Some(sender);
+        record.complete = true;
+        self.connections[gateway] = Some(sender);
     }
 
     async fn connection(&mut self, gateway: usize) -> Result<Sender, HttpError> {
-        match self.kept[gateway].take() {
+        match self.connections[gateway].take() {
             Some(sender) if sender.is_ready() => Ok(sender),
             _ => connect(&self.gateways[gateway]).await,
         }
