--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller and an operator, for tests and the load command.
+//! An HTTP client for callers and operators, for tests and the load command.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use limpetferry_net::http::HttpError;
 use serde_json::Value;
 
-/// Wait for any answer; tests that need less say so by headers.
-const WAIT: Duration = Duration::from_secs(60);
+/// Time-out for every answer. Tests that need a shorter one set it by a header.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Sends requests with a key to one address.
+/// Client that sends requests with one key to one address.
 pub struct Caller {
     client: Client,
     address: String,
     key: String,
 }
 
-/// An answer, read whole.
+/// An answer with its complete body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Got {
     /// HTTP status.
     pub status: u16,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Got {
-    /// Returns the body as JSON; null if it is none.
+    /// Returns the body as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// Returns the code of an error; empty if it is none.
+    /// Returns the error code in the body, or an empty string if there is none.
     pub fn code(&self) -> String {
         self.json()["error"]["code"]
             .as_str()
@@ -45,7 +45,7 @@
 }
 
 impl Caller {
-    /// Makes a caller of `address` with `key`.
+    /// Creates a client of `address` that sends `key`.
     pub fn new(address: SocketAddr, key: &str) -> Self {
         Self {
             client: Client::default(),
@@ -54,11 +54,12 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer.
     ///
     /// # Errors
     ///
-    /// Returns an [`HttpError`] if the connection fails.
+    /// Returns an [`HttpError`] if the connection fails or the answer takes too
+    /// long.
     ///
     /// # Panics
     ///
@@ -86,7 +87,10 @@
         let request = request
             .body(Full::new(Bytes::from(body)))
             .expect("tests send valid headers");
-        let (status, body) = self.client.exchange(&self.address, request, WAIT).await?;
+        let (status, body) = self
+            .client
+            .exchange(&self.address, request, ANSWER_TIMEOUT)
+            .await?;
         Ok(Got { status, body })
     }
 }
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a model engine: the OpenAI-compatible protocol with streams,
-//! a prefix cache by user, release, and fencing numbers.
+//! Stand-in for a model engine: the OpenAI-compatible streaming protocol, a
+//! prefix cache for each user that can be released, and fencing numbers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,25 +25,26 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Time between two looks whether answers are still held.
-const HOLD_LOOK: Duration = Duration::from_millis(5);
+/// Time between two checks whether answers are still held back.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the stand-in works, and faults that a test switches on.
+/// Speed and answers of the stand-in, and faults that a test switches on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineRules {
-    /// Tokens of an answer, unless the caller wants fewer.
+    /// Tokens of an answer, unless the request asks for fewer.
     pub tokens: u64,
-    /// Time for each token, in microseconds.
+    /// Time to generate a token, in microseconds.
     pub token_us: u64,
-    /// Time for each thousand prompt bytes that the cache does not hold, in
+    /// Time to process a thousand prompt bytes that are not in the cache, in
     /// microseconds.
     pub prefill_us: u64,
-    /// Whether orders with a fencing number below the highest are refused.
+    /// Whether requests with a fencing number below the highest one received are
+    /// refused.
     pub fencing: bool,
-    /// Whether answers wait until this is switched off.
+    /// Whether answers are held back until this is switched off.
     pub hold: bool,
-    /// Number of the token after which answers break off; zero for never.
+    /// Number of events after which an answer ends early; zero if it does not.
     pub break_at: u64,
 }
 
@@ -65,8 +66,8 @@
     rules: EngineRules,
     running: u64,
     served: u64,
-    fence: u64,
-    /// Prompt bytes held in cache, by user.
+    fencing_number: u64,
+    /// Number of cached prompt bytes, by user.
     cache: BTreeMap<String, u64>,
     prompts: Vec<Value>,
 }
@@ -91,32 +92,32 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Sets how it works.
+    /// Replaces the rules for answers and faults.
     pub fn set_rules(&self, rules: EngineRules) {
         self.lock().rules = rules;
     }
 
-    /// Returns the number of streams that run.
+    /// Returns the number of running streams.
     pub fn running(&self) -> u64 {
         self.lock().running
     }
 
-    /// Returns the number of streams served so far.
+    /// Returns the number of streams started so far.
     pub fn served(&self) -> u64 {
         self.lock().served
     }
 
-    /// Returns the users whose prompts are in its cache.
+    /// Returns the users whose prompts are in the cache.
     pub fn cached(&self) -> Vec<String> {
         self.lock().cache.keys().cloned().collect()
     }
 
-    /// Returns the messages of each prompt so far.
+    /// Returns the messages of each prompt received so far.
     pub fn prompts(&self) -> Vec<Value> {
         self.lock().prompts.clone()
     }
 
-    /// Returns what answers the listener.
+    /// Returns the HTTP handler.
     pub fn handler(&self) -> Handler {
         let this = self.clone();
         Arc::new(move |request| {
@@ -127,15 +128,15 @@
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
-        let fence = request.headers().get(FENCE_HEADER);
-        let fence = fence
+        let fencing_number = request.headers().get(FENCE_HEADER);
+        let fencing_number = fencing_number
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .unwrap_or(0);
         let body = request.into_body().collect().await;
         let bytes = body.map(|body| body.to_bytes()).unwrap_or_default();
         let body: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
         match path.as_str() {
-            "/v1/chat/completions" => self.chat(fence, &body).await,
+            "/v1/chat/completions" => self.chat(fencing_number, &body).await,
             "/v1/cache/release" => {
                 let user = body["user"].as_str().unwrap_or_default();
                 self.lock().cache.remove(user);
@@ -157,13 +158,13 @@
         }
     }
 
-    async fn chat(&self, fence: u64, body: &Value) -> Response<Body> {
+    async fn chat(&self, fencing_number: u64, body: &Value) -> Response<Body> {
         let (rules, missing) = {
             let mut state = self.lock();
-            if state.rules.fencing && fence < state.fence {
+            if state.rules.fencing && fencing_number < state.fencing_number {
                 return json_answer(409, &json!({"error": "old fencing number"}));
             }
-            state.fence = state.fence.max(fence);
+            state.fencing_number = state.fencing_number.max(fencing_number);
             state.running += 1;
             state.served += 1;
             state.prompts.push(body["messages"].clone());
@@ -181,7 +182,7 @@
     }
 }
 
-/// Returns the stream of an answer that names the last message.
+/// Returns an answer whose stream starts with the content of the last message.
 fn stream(rules: &EngineRules, body: &Value, running: Running) -> Response<Body> {
     let last = body["messages"].as_array().and_then(|list| list.last());
     let last = last
@@ -221,12 +222,12 @@
         Some((Ok::<_, Cut>(Frame::data(piece)), (pieces, running)))
     });
     let (sender, receiver) = async_channel::bounded(4);
-    // The answer is made by a task of its own, which ends when the caller
-    // closes the connection.
+    // A separate task produces the answer. It ends when the caller closes the
+    // connection.
     smol::spawn(async move {
         let mut frames = std::pin::pin!(frames);
         while engine.lock().rules.hold && !sender.is_closed() {
-            smol::Timer::after(HOLD_LOOK).await;
+            smol::Timer::after(HOLD_POLL_INTERVAL).await;
         }
         while let Some(frame) = futures_lite::StreamExt::next(&mut frames).await {
             if sender.send(frame).await.is_err() {
--- a/testutils/src/service.rs
+++ b/testutils/src/service.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a tool service or a plain service: counts how often each
-//! call runs.
+//! Stand-in for a tool service or a plain service. Counts how often each call
+//! runs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,11 +20,11 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// How the stand-in works.
+/// Speed of the stand-in, and a fault that a test switches on.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceRules {
-    /// Time for each call, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub delay_ms: u64,
     /// Whether calls never end.
     pub hang: bool,
@@ -33,9 +33,10 @@
 #[derive(Default)]
 struct State {
     rules: ServiceRules,
-    /// How often each call ran, by its id.
+    /// Number of runs of each call, by call id.
     runs: BTreeMap<String, u64>,
-    order: Vec<String>,
+    /// Paths of the calls in the order in which they ran.
+    paths: Vec<String>,
 }
 
 /// The stand-in; clones share their state.
@@ -49,22 +50,22 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Sets how it works.
+    /// Replaces the rules for speed and faults.
     pub fn set_rules(&self, rules: ServiceRules) {
         self.lock().rules = rules;
     }
 
-    /// Returns how often each call ran, by its id.
+    /// Returns the number of runs of each call, by call id.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.lock().runs.clone()
     }
 
     /// Returns the paths of the calls in the order in which they ran.
-    pub fn order(&self) -> Vec<String> {
-        self.lock().order.clone()
+    pub fn paths(&self) -> Vec<String> {
+        self.lock().paths.clone()
     }
 
-    /// Returns what answers the listener.
+    /// Returns the HTTP handler.
     pub fn handler(&self) -> Handler {
         let this = self.clone();
         Arc::new(move |request| {
@@ -92,14 +93,14 @@
         let rules = {
             let mut state = self.lock();
             *state.runs.entry(call.clone()).or_default() += 1;
-            state.order.push(path.clone());
+            state.paths.push(path.clone());
             state.rules.clone()
         };
         if rules.hang {
             std::future::pending::<()>().await;
         }
         smol::Timer::after(Duration::from_millis(rules.delay_ms)).await;
-        let said: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
-        json_answer(200, &json!({"done": path, "call": call, "said": said}))
+        let sent: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
+        json_answer(200, &json!({"done": path, "call": call, "said": sent}))
     }
 }
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -1,5 +1,6 @@
-//! A small site in one process: stand-ins, entries and side processes on
-//! loopback, for the demonstration and for tests over real sockets.
+//! A small site on loopback, for the demonstration and for tests over real
+//! sockets: stand-ins in this process, and entries and side processes as tasks
+//! or as separate processes.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -34,76 +35,76 @@
 use crate::vms::StandInVms;
 use crate::wire::Wire;
 
-/// Key of the callers of the site's deployment.
+/// Key that callers of the site's deployment send.
 pub const CALLER_KEY: &str = "caller-key-of-the-site";
-/// Key of the site's operator.
+/// Key that the site's operator sends.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-site";
-/// Key of the site's processes.
+/// Shared key with which the site's processes connect to each other.
 const PEER_KEY: &str = "peer-key-of-the-site";
-/// Data centres of the site.
+/// Data centres among which the site's processes are distributed.
 const CENTRES: [&str; 3] = ["osijek", "vinkovci", "pozega"];
 
-/// Tries to start a process, each with new addresses.
+/// Number of attempts to start a process, each with new addresses.
 const START_TRIES: u32 = 10;
-/// Time between two looks whether a process is up.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// Time between two checks whether a process is up.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How the site's own processes run.
+/// How the site's entries and side processes run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// As tasks of this process.
     Tasks,
-    /// As processes of their own, which can be killed and frozen.
+    /// As separate processes, which can be killed and frozen.
     Processes,
 }
 
 /// The addresses of one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryAddresses {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Listener for operators.
     pub operators: SocketAddr,
-    /// For metrics.
+    /// Listener for metrics.
     pub metrics: SocketAddr,
 }
 
-/// A site: the platform, backend servers and the system's processes.
+/// A site: the platform's services, backend servers, entries and side processes.
 pub struct Site {
-    /// The key-value service.
+    /// Stand-in for the platform's key-value service.
     pub store: StandInStore,
-    /// The VM list.
+    /// Stand-in for the platform's VM list.
     pub vms: StandInVms,
-    /// The model engines.
+    /// Stand-ins for model engines.
     pub engines: Vec<StandInEngine>,
-    /// The tool services.
+    /// Stand-ins for tool services.
     pub services: Vec<StandInService>,
-    /// The addresses of the entries.
+    /// Addresses of the entries.
     pub entries: Vec<EntryAddresses>,
-    /// The addresses of all processes' metrics.
+    /// Addresses at which the processes serve metrics.
     pub metrics: Vec<SocketAddr>,
-    /// The processes by name.
+    /// Processes by name.
     pub processes: BTreeMap<String, Process>,
-    /// Settings of a side process by name, to start it again.
+    /// Settings of side processes by name, for restarts.
     sides: BTreeMap<String, SideSettings>,
-    store_at: SocketAddr,
-    vms_at: SocketAddr,
-    /// Times and bounds of the processes that start from now on.
+    store_address: SocketAddr,
+    vms_address: SocketAddr,
+    /// Times and limits for processes that are started later.
     pub rules: Rules,
-    /// Whether side processes that are added have a data folder.
-    data: bool,
+    /// Whether side processes that are added get a data folder.
+    with_data: bool,
     mode: Mode,
     folder: Folder,
     stops: Vec<async_channel::Sender<()>>,
 }
 
 impl Site {
-    /// Starts the platform only.
-    pub async fn platform(rules: Rules, mode: Mode) -> Self {
+    /// Starts only the stand-ins of the platform's services.
+    pub async fn start_platform(rules: Rules, mode: Mode) -> Self {
         let store = StandInStore::default();
         let vms = StandInVms::default();
-        let (store_at, stop_store) = listen(any_port(), store.handler()).await;
-        let (vms_at, stop_vms) = listen(any_port(), vms.handler()).await;
+        let (store_address, stop_store) = listen(any_port(), store.handler()).await;
+        let (vms_address, stop_vms) = listen(any_port(), vms.handler()).await;
         Self {
             store,
             vms,
@@ -113,17 +114,17 @@
             metrics: Vec::new(),
             processes: BTreeMap::new(),
             sides: BTreeMap::new(),
-            store_at,
-            vms_at,
+            store_address,
+            vms_address,
             rules,
-            data: false,
+            with_data: false,
             mode,
             folder: Folder::default(),
             stops: vec![stop_store, stop_vms],
         }
     }
 
-    /// Starts a whole site and applies its first document.
+    /// Starts a site with its processes as tasks, and applies its first document.
     ///
     /// # Panics
     ///
@@ -132,25 +133,26 @@
         Self::start_as(Mode::Tasks, entries, engines, services).await
     }
 
-    /// Starts a whole site, with its processes as `mode` says.
+    /// Starts a site with its processes in `mode`, and applies its first document.
     ///
     /// # Panics
     ///
     /// Panics if the site does not come up.
     pub async fn start_as(mode: Mode, entries: usize, engines: usize, services: usize) -> Self {
-        let mut site = Self::platform(Rules::default(), mode).await;
+        let mut site = Self::start_platform(Rules::default(), mode).await;
         site.fill(entries, engines, services).await;
         site
     }
 
-    /// Starts a whole site whose side processes have data folders.
+    /// Starts a site in separate processes whose side processes have data
+    /// folders, and applies its first document.
     ///
     /// # Panics
     ///
     /// Panics if the site does not come up.
     pub async fn start_stored(entries: usize, engines: usize, services: usize) -> Self {
-        let mut site = Self::platform(Rules::default(), Mode::Processes).await;
-        site.data = true;
+        let mut site = Self::start_platform(Rules::default(), Mode::Processes).await;
+        site.with_data = true;
         site.fill(entries, engines, services).await;
         site
     }
@@ -165,7 +167,7 @@
         for _ in 0..entries {
             self.add_entry().await;
         }
-        self.apply_first().await;
+        self.apply_first_document().await;
     }
 
     fn common(&self, name: &str, index: usize) -> Common {
@@ -176,8 +178,8 @@
             peers: free(),
             metrics: free(),
             key: PEER_KEY.to_owned(),
-            store: self.store_at,
-            vms: Some(self.vms_at),
+            store: self.store_address,
+            vms: Some(self.vms_address),
             stop_ms: 30_000,
             log: LogSettings::default(),
             rules: self.rules.clone(),
@@ -202,9 +204,9 @@
         panic!("{name} does not start");
     }
 
-    /// Waits until a process that was started listens at all its addresses;
-    /// returns false if it ended instead, as it does when an outgoing
-    /// connection has taken a port that was free.
+    /// Waits until a started process listens at all its addresses. Returns false
+    /// if it exits instead, which it does when an outgoing connection took one of
+    /// its ports after the port had been chosen as free.
     async fn is_up(&mut self, name: &str, metrics: SocketAddr) -> bool {
         let caller = Caller::new(metrics, "none");
         while !self.process(name).has_ended() {
@@ -212,7 +214,7 @@
             if got.is_ok() {
                 return true;
             }
-            smol::Timer::after(LOOK_EVERY).await;
+            smol::Timer::after(START_POLL_INTERVAL).await;
         }
         false
     }
@@ -252,7 +254,7 @@
             let settings = SideSettings {
                 common: self.common(&name, index),
                 server,
-                data: self.data.then(|| self.data_settings()),
+                data: self.with_data.then(|| self.data_settings()),
             };
             let metrics = settings.common.metrics;
             self.vms.set(&settings.common.vm, "live");
@@ -266,7 +268,7 @@
         panic!("{name} does not start");
     }
 
-    /// Starts the side process `name`, anew if it ran before.
+    /// Starts or restarts the side process `name`.
     ///
     /// # Panics
     ///
@@ -280,7 +282,8 @@
         self.processes.insert(name.to_owned(), process);
     }
 
-    /// Leads what entries send to `name` from now on through a wire.
+    /// Registers a new wire as the address of `name`, so that entries connect to
+    /// it through the wire.
     ///
     /// # Panics
     ///
@@ -297,7 +300,7 @@
         wire
     }
 
-    /// Returns the process `name`.
+    /// Returns the process with this name.
     ///
     /// # Panics
     ///
@@ -328,8 +331,8 @@
         self.add_side(format!("tool-{index}"), index + 1, at).await;
     }
 
-    /// Returns the site's first document: one deployment with a model, a
-    /// service of transfers, and lookups that may run twice.
+    /// Returns the site's first document: one deployment with a model and a
+    /// transfer service whose lookups are idempotent.
     pub fn document(&self) -> Value {
         let engines: Vec<String> = (1..=self.engines.len())
             .map(|i| format!("engine-{i}"))
@@ -359,12 +362,12 @@
         json!({"servers": servers, "deployments": {"register": deployment}})
     }
 
-    /// Returns a caller of the entry with `index`.
+    /// Returns a client of the entry with `index` that has the caller key.
     pub fn caller(&self, index: usize) -> Caller {
         Caller::new(self.entries[index].callers, CALLER_KEY)
     }
 
-    /// Returns an operator at the entry with `index`.
+    /// Returns a client of the entry with `index` that has the operator key.
     pub fn operator(&self, index: usize) -> Caller {
         Caller::new(self.entries[index].operators, OPERATOR_KEY)
     }
@@ -381,8 +384,8 @@
         got.json()["id"].as_str().expect("an id").to_owned()
     }
 
-    /// Waits until every process has the document's `version` in force, as
-    /// its metrics tell.
+    /// Waits until the metrics of every process show the document's `version` as
+    /// the one in force.
     pub async fn in_force_everywhere(&self, version: u64) {
         let line = format!("limpetferry_document_version{{operator=\"registrars\"}} {version}\n");
         for address in &self.metrics {
@@ -397,9 +400,9 @@
         }
     }
 
-    /// Waits until every shard has an owner, and a keeper that has all of it.
+    /// Waits until every shard has an owner and a keeper with a complete copy.
     pub async fn whole(&self) {
-        eventually("every shard has its owner and its keeper", async || {
+        eventually("every shard has an owner and a keeper", async || {
             let mut kept = 0;
             for entry in &self.entries {
                 kept += read_gauge(entry.metrics, "limpetferry_shards_kept").await;
@@ -409,16 +412,17 @@
         .await;
     }
 
-    /// Applies the first document and waits until calls are served.
+    /// Applies the first document, and waits until every entry opens programs and
+    /// every shard has an owner and a keeper with a complete copy.
     ///
     /// # Panics
     ///
     /// Panics if the site does not come up.
-    pub async fn apply_first(&self) {
+    pub async fn apply_first_document(&self) {
         let patch = json!({"id": "first", "base": 0, "change": {"merge": self.document()}});
         let operator = self.operator(0);
         let last = Cell::new(None);
-        let applies = async || {
+        let apply = async || {
             let sent = operator
                 .send("POST", "/v1/config/patches", &[], &patch)
                 .await;
@@ -426,12 +430,12 @@
             last.set(Some(sent));
             done
         };
-        if !within_long(applies).await {
-            panic!("the first patch never applies: {:?}", last.take());
+        if !holds_in_time(apply).await {
+            panic!("the first patch was not applied: {:?}", last.take());
         }
         for index in 0..self.entries.len() {
             let caller = self.caller(index);
-            eventually("programs open at every entry", async || {
+            eventually("every entry opens programs", async || {
                 let sent = caller.send("POST", "/v1/programs", &[], &Value::Null).await;
                 sent.is_ok_and(|got| got.status == 200)
             })
@@ -443,7 +447,8 @@
     }
 }
 
-/// Reads a metric without labels; zero if the process does not answer.
+/// Reads a metric without labels. Returns zero if it is missing or the process
+/// does not answer.
 pub async fn read_gauge(metrics: SocketAddr, name: &str) -> u64 {
     let caller = Caller::new(metrics, "none");
     let got = caller.send("GET", "/metrics", &[], &Value::Null).await;
@@ -455,18 +460,18 @@
     values.next().unwrap_or(0)
 }
 
-/// Waits until `check` holds; gives up after a long time only, so that the
-/// verdict does not depend on the machine's speed.
+/// Waits until `check` holds. The time limit is long, so that the result does
+/// not depend on the machine's speed.
 ///
 /// # Panics
 ///
-/// Panics with `what` if it never holds.
+/// Panics with `what` if the time limit expires.
 pub async fn eventually(what: &str, check: impl AsyncFn() -> bool) {
-    assert!(within_long(check).await, "never happened: {what}");
+    assert!(holds_in_time(check).await, "timed out waiting until {what}");
 }
 
-/// Returns whether `check` holds within a long time.
-async fn within_long(check: impl AsyncFn() -> bool) -> bool {
+/// Returns whether `check` holds within the time limit of [`eventually`].
+async fn holds_in_time(check: impl AsyncFn() -> bool) -> bool {
     let pause = Duration::from_millis(20);
     for _ in 0..9_000 {
         if check().await {
--- a/testutils/src/store.rs
+++ b/testutils/src/store.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform's key-value service: the JSON form of the etcd
-//! v3 protocol, as far as the system uses it.
+//! Stand-in for the platform's key-value service: the part of the etcd v3 JSON
+//! API that the system uses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,11 +29,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StoreFaults {
-    /// Whether no call is answered.
+    /// Whether calls are left unanswered.
     pub down: bool,
     /// Delay of each answer, in milliseconds.
     pub delay_ms: u64,
-    /// Number of writes that take effect but whose answers are lost.
+    /// Number of further writes that take effect but are not answered.
     pub lose_replies: u32,
 }
 
@@ -71,7 +71,7 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Switches faults on or off.
+    /// Switches faults on or off. Going down also closes all watches.
     pub fn set_faults(&self, faults: StoreFaults) {
         let mut state = self.lock();
         if faults.down {
@@ -80,12 +80,12 @@
         state.faults = faults;
     }
 
-    /// Returns the number of calls so far, by path.
+    /// Returns the number of calls received so far, by path.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         self.lock().calls.clone()
     }
 
-    /// Writes a value as some process would.
+    /// Writes a value, as a process would through the API.
     pub fn set(&self, key: &str, value: &str) {
         let body = json!({"key": BASE64.encode(key), "value": BASE64.encode(value)});
         let mut state = self.lock();
@@ -102,7 +102,7 @@
             .map(|entry| entry.value.clone())
     }
 
-    /// Returns what answers the listener.
+    /// Returns the HTTP handler.
     pub fn handler(&self) -> Handler {
         let this = self.clone();
         Arc::new(move |request| {
@@ -244,14 +244,14 @@
         };
         let event = json!({"type": "PUT", "kv": kv(&key, &entry)});
         self.entries.insert(key.clone(), entry);
-        self.tell(&key, event);
+        self.notify_watchers(&key, event);
     }
 
     fn delete(&mut self, key: &[u8]) -> Value {
         if self.entries.remove(key).is_some() {
             self.revision += 1;
             let kv = json!({"key": BASE64.encode(key), "mod_revision": self.revision.to_string()});
-            self.tell(key, json!({"type": "DELETE", "kv": kv}));
+            self.notify_watchers(key, json!({"type": "DELETE", "kv": kv}));
         }
         json!({"header": self.header()})
     }
@@ -259,20 +259,20 @@
     fn txn(&mut self, body: &Value) -> Value {
         let empty = Vec::new();
         let compares = body["compare"].as_array().unwrap_or(&empty);
-        let holds = compares.iter().all(|compare| {
+        let matches = compares.iter().all(|compare| {
             let have = self.entries.get(&decode(&compare["key"]));
             have.map_or(0, |entry| entry.revision) == number(&compare["mod_revision"])
         });
-        if holds {
+        if matches {
             self.revision += 1;
             for step in body["success"].as_array().unwrap_or(&empty) {
                 self.put(&step["request_put"]);
             }
         }
-        json!({"header": self.header(), "succeeded": holds})
+        json!({"header": self.header(), "succeeded": matches})
     }
 
-    fn tell(&mut self, key: &[u8], event: Value) {
+    fn notify_watchers(&mut self, key: &[u8], event: Value) {
         let message = line(&json!({"result": {"events": [event]}}));
         self.log.push(event);
         self.watchers.retain(|watcher| {
