--- a/testutils/src/bin/limpetferry-experiment.rs
+++ b/testutils/src/bin/limpetferry-experiment.rs
@@ -1,4 +1,4 @@
-//! Compares the policy with its baselines in virtual time.
+//! Compares the shipped policy with its baselines in virtual time.
 
 use clap::Parser;
 use limpetferry_testutils::experiment::Figures;
@@ -7,17 +7,17 @@
 use limpetferry_testutils::experiment::Setup;
 use limpetferry_testutils::experiment::run;
 
-/// Compares the policy with its baselines; prints rows of comma-separated
-/// values: means over the seeds, and the spread of the 95th percentile.
+/// Compares the shipped policy with its baselines. Prints rows of comma-separated
+/// values: means over the seeds, and the lowest and highest 95th percentile.
 #[derive(Parser)]
 struct Args {
-    /// Seeds, counted from 1.
+    /// Number of seeds, starting from 1.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
     /// Loads, as shares of capacity.
     #[arg(long, value_delimiter = ',', default_values_t = [0.5, 0.8, 1.0, 1.2])]
     loads: Vec<f64>,
-    /// Lets one engine work at a tenth of its speed.
+    /// Runs one engine at a tenth of its speed.
     #[arg(long)]
     slow: bool,
 }
--- a/testutils/src/bin/limpetferry-soak.rs
+++ b/testutils/src/bin/limpetferry-soak.rs
@@ -1,4 +1,4 @@
-//! Runs the soak with many seeds.
+//! Runs the soak test with many seeds.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use limpetferry_testutils::soak;
 
 /// Runs gateways and keepers under faults, and checks what callers and servers
-/// saw. Exits with 1 if a promise did not hold.
+/// observed. Exits with status 1 if a promise was broken.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
@@ -17,7 +17,7 @@
     /// Number of seeds.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Seconds of faults in each run.
+    /// Duration of the faults in each run, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
 }
@@ -28,9 +28,9 @@
     let mut failed = 0;
     for seed in args.seed..args.seed + args.seeds {
         match smol::block_on(soak::run(seed, length)) {
-            Ok(seen) => println!(
+            Ok(summary) => println!(
                 "seed={seed} held attempts={} answered={} faults={}",
-                seen.attempts, seen.answered, seen.faults
+                summary.attempts, summary.answered, summary.faults
             ),
             Err(broken) => {
                 failed += 1;
--- a/testutils/src/experiment.rs
+++ b/testutils/src/experiment.rs
@@ -1,6 +1,7 @@
-//! The policy under load, in virtual time: the real placement and queue of
-//! the decision library under a small engine model with slots, prefill, decode
-//! and a bounded prefix cache. No network and no machines are modelled.
+//! Simulation of the policy under load, in virtual time. Placement and queue
+//! are the real ones of the decision library; engines are modelled with slots,
+//! prefill, decode and a bounded prefix cache. Network and machines are not
+//! modelled.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -28,22 +29,22 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-/// Engines of the model.
+/// Number of engines in the model.
 const ENGINES: usize = 10;
-/// Calls that an engine runs at once.
+/// Number of calls that an engine runs at once.
 const SLOTS: usize = 8;
-/// Prompt tokens that an engine computes a second, for one call.
+/// Prompt tokens that an engine computes per second and call.
 const PREFILL: f64 = 8_000.0;
-/// Answer tokens that an engine computes a second, for one call.
+/// Answer tokens that an engine generates per second and call.
 const DECODE: f64 = 40.0;
 /// Tokens that an engine's cache holds.
 const CACHE: u64 = 400_000;
 /// Time between two load reports, in microseconds.
 const REPORT: u64 = 1_000_000;
-/// Entries, each of which knows its own programs' calls at once and the
-/// others' by reports only.
+/// Number of entries. Each sees the calls of its own programs immediately, and
+/// those of the other entries only through load reports.
 const ENTRIES: u64 = 2;
-/// Programs of one run.
+/// Number of programs in one run.
 const PROGRAMS: u64 = 1_500;
 
 /// A kind of program.
@@ -58,7 +59,7 @@
     urgent: bool,
 }
 
-/// Programs that a user runs.
+/// Mix of programs that a user runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mix {
     /// Lookups and transfers.
@@ -139,15 +140,15 @@
 }
 
 impl Kind {
-    /// Seconds of a slot that one program needs when nothing is computed
-    /// twice.
+    /// Returns the seconds for which one program occupies a slot if no prompt
+    /// token is computed twice.
     fn work(&self) -> f64 {
         let prompts = (self.first + self.more * (self.turns - 1)) as f64;
         prompts / PREFILL + (self.answer * self.turns) as f64 / DECODE
     }
 
-    /// Seconds from start to end on idle engines.
-    fn alone(&self) -> f64 {
+    /// Returns the seconds from start to end on idle engines.
+    fn idle_latency(&self) -> f64 {
         self.work() + self.pause * (self.turns - 1) as f64
     }
 }
@@ -161,9 +162,10 @@
     LeastLoaded,
     /// Always the same server, first come first served.
     Sticky,
-    /// Cache against queue, first come first served.
+    /// Weighs cached prompts against queue length; first come first served.
     AffinityFirstCome,
-    /// Cache against queue, least attained service: what ships.
+    /// Weighs cached prompts against queue length; least attained service. This
+    /// is the shipped policy.
     Shipped,
 }
 
@@ -194,24 +196,24 @@
     }
 }
 
-/// What one run is about.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     /// The programs.
     pub mix: Mix,
-    /// Load, as a share of what the engines can do when nothing is computed
+    /// Load, as a share of the engines' capacity if no prompt token is computed
     /// twice.
     pub load: f64,
     /// Whether one engine works at a tenth of its speed.
     pub slow: bool,
-    /// Start of the random source.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What one run showed.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Median of program latency over its latency alone.
+    /// Median of a program's latency divided by its latency on idle engines.
     pub p50: f64,
     /// 95th percentile of the same.
     pub p95: f64,
@@ -219,7 +221,8 @@
     pub p99: f64,
     /// Share of the computed prompt tokens that had been computed before.
     pub waste: f64,
-    /// Share of urgent programs that took more than three seconds.
+    /// Share of urgent programs that took over three seconds longer than on idle
+    /// engines.
     pub late: f64,
 }
 
@@ -230,7 +233,7 @@
     turn: u64,
     context: u64,
     known: u64,
-    warm: Option<usize>,
+    last_engine: Option<usize>,
     attained: u64,
 }
 
@@ -242,15 +245,15 @@
     sent: [u32; ENTRIES as usize],
     backlog: [u64; ENTRIES as usize],
     reported: (u32, u64),
-    /// When each running call starts and ends its answer, and its tokens.
+    /// Start, end and token count of the answer of each running call.
     answers: BTreeMap<u64, (u64, u64, u64)>,
     speed: Speed,
     pace: u32,
 }
 
 impl Engine {
-    /// Does what a side process does with the pieces of the answers: those
-    /// that came since the last report, and the time for which calls ran.
+    /// Updates the pace as a side process does: from the answer pieces since the
+    /// last report and the time for which calls ran.
     fn measure(&mut self, now: u64) {
         let since = now - REPORT;
         let mut pieces = 0.0;
@@ -299,11 +302,11 @@
     engines: Vec<Engine>,
     placement: Box<dyn Placement>,
     ordering: Box<dyn Ordering>,
-    stretches: Vec<f64>,
+    slowdowns: Vec<f64>,
     urgent: (u64, u64),
     prefilled: u64,
-    again: u64,
-    left: u64,
+    recomputed: u64,
+    remaining: u64,
 }
 
 /// Runs one setup under one policy.
@@ -317,14 +320,14 @@
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
         placement: policy.placement(),
         ordering: policy.ordering(),
-        stretches: Vec::new(),
+        slowdowns: Vec::new(),
         urgent: (0, 0),
         prefilled: 0,
-        again: 0,
-        left: PROGRAMS,
+        recomputed: 0,
+        remaining: PROGRAMS,
     };
     model.plan_arrivals();
-    while model.left > 0 {
+    while model.remaining > 0 {
         let Some(Reverse((at, event))) = model.events.pop() else {
             break;
         };
@@ -359,7 +362,7 @@
                 turn: 0,
                 context: kind.first,
                 known: 0,
-                warm: None,
+                last_engine: None,
                 attained: 0,
             };
             self.programs.insert(id, program);
@@ -393,7 +396,7 @@
             slots: SLOTS as u32,
             busy: engine.sent[entry].max(engine.reported.0),
             backlog: engine.backlog[entry].max(engine.reported.1),
-            cached: if program.warm == Some(index) {
+            cached: if program.last_engine == Some(index) {
                 program.known
             } else {
                 0
@@ -440,7 +443,7 @@
             let held = engine.held(id).min(program.context);
             let missing = program.context - held;
             self.prefilled += missing;
-            self.again += program.known.saturating_sub(held);
+            self.recomputed += program.known.saturating_sub(held);
             engine.running += 1;
             engine.store(id, program.context, self.now);
             let slower = if self.setup.slow && index == 0 {
@@ -466,7 +469,7 @@
         program.attained += need;
         program.turn += 1;
         program.known = need;
-        program.warm = Some(index);
+        program.last_engine = Some(index);
         program.context = need + program.kind.more;
         let over = program.turn >= program.kind.turns;
         let (kind, start) = (program.kind, program.start);
@@ -479,15 +482,15 @@
         engine.store(id, need, now);
         if over {
             let took = (now - start) as f64 / 1e6;
-            self.stretches.push(took / kind.alone());
+            self.slowdowns.push(took / kind.idle_latency());
             self.urgent.0 += u64::from(kind.urgent);
-            self.urgent.1 += u64::from(kind.urgent && took > 3.0 + kind.alone());
+            self.urgent.1 += u64::from(kind.urgent && took > 3.0 + kind.idle_latency());
             // The end of a program releases its cache.
             for engine in &mut self.engines {
                 engine.cache.remove(&id);
             }
             self.programs.remove(&id);
-            self.left -= 1;
+            self.remaining -= 1;
         } else {
             let pause = micros(kind.pause);
             self.events.push(Reverse((now + pause, Event::Call(id))));
@@ -496,10 +499,10 @@
     }
 
     fn figures(mut self) -> Figures {
-        self.stretches.sort_by(f64::total_cmp);
+        self.slowdowns.sort_by(f64::total_cmp);
         let at = |share: f64| {
-            let last = self.stretches.len().saturating_sub(1);
-            self.stretches
+            let last = self.slowdowns.len().saturating_sub(1);
+            self.slowdowns
                 .get((last as f64 * share) as usize)
                 .copied()
                 .unwrap_or(0.0)
@@ -508,7 +511,7 @@
             p50: at(0.5),
             p95: at(0.95),
             p99: at(0.99),
-            waste: self.again as f64 / self.prefilled.max(1) as f64,
+            waste: self.recomputed as f64 / self.prefilled.max(1) as f64,
             late: self.urgent.1 as f64 / self.urgent.0.max(1) as f64,
         }
     }
