--- a/testutils/src/bin/limpetferry-standin.rs
+++ b/testutils/src/bin/limpetferry-standin.rs
@@ -1,4 +1,4 @@
-//! Starts one stand-in by hand.
+//! Runs one fake of the platform or of a backend server, for manual tests.
 
 use std::net::SocketAddr;
 
@@ -10,18 +10,18 @@
 use limpetferry_testutils::store::StandInStore;
 use limpetferry_testutils::vms::StandInVms;
 
-/// Starts a stand-in for the platform or for a backend server.
+/// Runs a fake of the platform or of a backend server.
 #[derive(Parser)]
 struct Args {
-    /// What to stand in for.
+    /// What to imitate.
     kind: Kind,
     /// IP address and port to listen at.
     #[arg(long)]
     listen: SocketAddr,
-    /// Time for each token of an engine, in microseconds.
+    /// Time that an engine takes for each token, in microseconds.
     #[arg(long, default_value_t = 0)]
     token_us: u64,
-    /// Tokens of an engine's answer.
+    /// Number of tokens in each answer of an engine.
     #[arg(long, default_value_t = 8)]
     tokens: u64,
 }
--- a/testutils/src/check.rs
+++ b/testutils/src/check.rs
@@ -1,4 +1,4 @@
-//! Programs that check their settings before they do anything.
+//! Tests of the check of settings that each program does at its start.
 
 use std::path::Path;
 use std::process::Command;
@@ -7,18 +7,18 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Reads an example below the workspace's `examples`.
+/// Reads an example from the workspace's `examples` folder.
 ///
 /// # Panics
 ///
-/// Panics if there is none, or it is no JSON.
+/// Panics if the example does not exist or is not JSON.
 pub fn example(name: &str) -> Value {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples");
-    let text = std::fs::read_to_string(root.join(name)).expect("the example is there");
+    let text = std::fs::read_to_string(root.join(name)).expect("the example exists");
     serde_json::from_str(&text).expect("the example is JSON")
 }
 
-/// Lets `program` check `settings` only.
+/// Runs `program` with `--check`, which checks `settings` and exits.
 ///
 /// # Panics
 ///
@@ -29,33 +29,33 @@
         std::process::id(),
         rand::random::<u64>()
     ));
-    std::fs::write(&file, settings.to_string()).expect("the folder can be written");
+    std::fs::write(&file, settings.to_string()).expect("the temporary folder can be written");
     let output = Command::new(program)
         .arg("--check")
         .arg("--settings")
         .arg(&file)
         .output();
-    // What the system keeps of a temporary file does no harm.
+    // A temporary file that stays does no harm.
     let _ = std::fs::remove_file(&file);
     output.expect("the program starts")
 }
 
-/// Asserts that `program` finds no fault in `settings`.
+/// Asserts that `program` accepts `settings`.
 ///
 /// # Panics
 ///
-/// Panics if it finds one, or cannot be started.
+/// Panics if it rejects them or cannot be started.
 pub fn assert_faultless(program: &str, settings: &Value) {
     let output = check(program, settings);
 
     assert!(output.status.success(), "{output:?}");
 }
 
-/// Asserts that `program` refuses `settings` and lists these faults.
+/// Asserts that `program` rejects `settings` and reports each of `faults`.
 ///
 /// # Panics
 ///
-/// Panics if it does not, or cannot be started.
+/// Panics if it does not or cannot be started.
 pub fn assert_faults(program: &str, settings: &Value, faults: &[&str]) {
     let output = check(program, settings);
 
@@ -66,12 +66,13 @@
     }
 }
 
-/// Asserts that `program` refuses settings of the users' platform with four
-/// faults in what all processes are told, and lists each with its remedy.
+/// Asserts that `program`, of the users' platform, rejects settings with four
+/// faults in the section that all processes share, and reports each with its
+/// remedy.
 ///
 /// # Panics
 ///
-/// Panics if it does not, or cannot be started.
+/// Panics if it does not or cannot be started.
 pub fn assert_common_faults(program: &str, mut settings: Value) {
     settings["common"]["key"] = json!("short");
     settings["common"]["node"] = json!("two words");
@@ -87,11 +88,11 @@
     assert_faults(program, &settings, &faults);
 }
 
-/// Asserts that `program` refuses settings with a field that it does not know.
+/// Asserts that `program` rejects settings with an unknown field.
 ///
 /// # Panics
 ///
-/// Panics if it does not, or cannot be started.
+/// Panics if it does not or cannot be started.
 pub fn assert_unknown_refused(program: &str, mut settings: Value) {
     settings["colour"] = json!("blue");
 
--- a/testutils/src/folder.rs
+++ b/testutils/src/folder.rs
@@ -4,12 +4,12 @@
 use std::path::Path;
 use std::path::PathBuf;
 
-/// A folder that goes with its site, unless the test fails: the logs in it say
-/// what the processes did.
+/// A temporary folder that is removed on drop. If the test panics, it is kept for
+/// the logs of the processes in it.
 pub struct Folder(PathBuf);
 
 impl Default for Folder {
-    /// Names a new folder.
+    /// Chooses a random name. The folder is not created yet.
     fn default() -> Self {
         let name = format!(
             "limpetferry-{}-{:x}",
@@ -34,7 +34,7 @@
             eprintln!("the site's settings and logs are in {}", self.0.display());
             return;
         }
-        // What the system keeps of a temporary folder does no harm.
+        // It may not exist; a temporary folder that stays does no harm.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the platform and for backend servers, with faults
-//! that a test switches on, and a load command. Nothing here ships.
+//! Fakes of the platform and of backend servers with fault injection, sites for
+//! tests, and load generators. Nothing in this crate is part of a release.
 
 pub mod check;
 pub mod client;
--- a/testutils/src/listen.rs
+++ b/testutils/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners of the stand-ins.
+//! Listeners of the fakes, and free ports.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use limpetferry_net::http::serve;
 use limpetferry_net::links::bind;
 
-/// Bounds that no test reaches.
+/// Limits that no test reaches.
 const BOUNDS: Bounds = Bounds {
     connections: 10_000,
     head: 64 << 10,
@@ -20,37 +20,39 @@
     flush: FLUSH_WAIT,
 };
 
-/// Serves `handler` at `address` until the returned sender is dropped;
-/// returns the address, with the port that the system gave.
+/// Serves `handler` at `address` until the returned sender is dropped. Returns
+/// the bound address, with the port that the operating system chose if `address`
+/// has port 0.
 ///
 /// # Panics
 ///
-/// Panics if the address is taken.
+/// Panics if the address is in use.
 pub async fn listen(
     address: SocketAddr,
     handler: Handler,
 ) -> (SocketAddr, async_channel::Sender<()>) {
-    let listener = bind("the stand-in", address).expect("the address is free");
+    let listener = bind("the fake server", address).expect("the address is free");
     let address = listener.local_addr().expect("a bound listener has one");
-    let (stop, stopped) = async_channel::bounded(1);
-    smol::spawn(serve(listener, BOUNDS, handler, stopped)).detach();
+    let (stop, stop_requests) = async_channel::bounded(1);
+    smol::spawn(serve(listener, BOUNDS, handler, stop_requests)).detach();
     (address, stop)
 }
 
-/// Returns an address of the loopback interface whose port the system picks.
+/// Returns the loopback address with port 0, for which the operating system
+/// chooses a port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Returns an address with a port that the system gave. The loopback address
-/// is drawn anew each time, so that no outgoing connection takes the port
-/// before the process that it is for.
+/// Returns a loopback address with a free port. The IP address is random for
+/// each call, so that no outgoing connection is assigned the port before the
+/// process that it is meant for binds it.
 ///
 /// # Panics
 ///
 /// Panics if no port is free.
 pub fn free() -> SocketAddr {
-    let _ports = hold_ports();
+    let _ports = lock_ports();
     let ip = Ipv4Addr::new(
         127,
         rand::random_range(1..255),
@@ -61,14 +63,14 @@
     listener.local_addr().expect("a bound listener has one")
 }
 
-/// Keeps processes from being started while a port is looked for: until it runs its
-/// own program, a new process holds all that its parent had open, and the port
-/// with it.
+/// Prevents child processes from being started while a free port is chosen. Until
+/// it executes its program, a new child process holds all sockets that its parent
+/// had open, which keeps the chosen port in use.
 ///
 /// # Panics
 ///
-/// Panics if another thread panicked while it held the ports.
-pub fn hold_ports() -> MutexGuard<'static, ()> {
+/// Panics if another thread panicked while it held the lock.
+pub fn lock_ports() -> MutexGuard<'static, ()> {
     static PORTS: Mutex<()> = Mutex::new(());
     PORTS.lock().expect("no panic while locked")
 }
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -1,7 +1,7 @@
-//! Processes of a site: tasks, or processes of their own that a test kills,
-//! freezes and stops.
+//! Processes of a site: tasks of the test, or child processes that a test can
+//! kill, suspend and stop.
 
-use crate::listen::hold_ports;
+use crate::listen::lock_ports;
 use std::future::Future;
 use std::path::Path;
 use std::path::PathBuf;
@@ -14,47 +14,49 @@
 use async_channel::Receiver;
 use serde::Serialize;
 
-/// Time between two looks at a process that is to end.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Time between two checks whether a child process has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A process of the site that runs.
+/// A running process of the site.
 pub enum Process {
-    /// A task of this process.
+    /// A task in the process of the test.
     Task {
-        /// Says that it is to stop.
+        /// Requests the task to stop.
         stop: async_channel::Sender<()>,
-        /// Its end.
+        /// The task, until its result is taken.
         task: Option<smol::Task<eyre::Result<()>>>,
     },
-    /// A process of its own.
+    /// A child process.
     Child(Child),
 }
 
-/// Returns the path of one of the workspace's programs, beside the tests.
-fn program(name: &str) -> PathBuf {
+/// Returns the path of one of the workspace's programs: in the folder of the test
+/// executable or in its parent.
+fn program_path(name: &str) -> PathBuf {
     let tests = std::env::current_exe().expect("a test has a path");
     let folders = tests.ancestors().skip(1).take(2);
     let found = folders
         .map(|folder| folder.join(name))
         .find(|path| path.exists());
-    found.unwrap_or_else(|| panic!("no {name} beside the tests; run 'cargo build' first"))
+    found
+        .unwrap_or_else(|| panic!("no {name} next to the test executable; run 'cargo build' first"))
 }
 
 impl Process {
-    /// Starts a task that ends when it is told to stop.
+    /// Starts a task that ends when its stop channel receives a message.
     pub fn task<F>(run: impl FnOnce(Receiver<()>) -> F) -> Self
     where
         F: Future<Output = eyre::Result<()>> + Send + 'static,
     {
-        let (stop, stopped) = async_channel::bounded(1);
-        let running = run(stopped);
+        let (stop, stop_requests) = async_channel::bounded(1);
+        let future = run(stop_requests);
         let task = smol::spawn(async move {
-            let ended = running.await;
-            if let Err(error) = &ended {
-                // Nobody may wait for its end; a test that fails shows this.
-                eprintln!("a process of the site ended: {error:#}");
+            let result = future.await;
+            if let Err(error) = &result {
+                // The result may never be read; a failing test shows this output.
+                eprintln!("a process of the site failed: {error:#}");
             }
-            ended
+            result
         });
         Self::Task {
             stop,
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Starts a program of the workspace with `settings`.
+    /// Starts a program of the workspace. Its settings are written to
+    /// `<node>.json` in `folder`, its output to `<node>.log`.
     ///
     /// # Panics
     ///
@@ -70,13 +73,13 @@
     pub fn spawn(name: &str, folder: &Path, node: &str, settings: &impl Serialize) -> Self {
         std::fs::create_dir_all(folder).expect("the temporary folder can be written");
         let file = folder.join(format!("{node}.json"));
-        let text = serde_json::to_vec_pretty(settings).expect("settings are plain data");
+        let text = serde_json::to_vec_pretty(settings).expect("settings can be serialised");
         std::fs::write(&file, text).expect("the temporary folder can be written");
         let log = std::fs::File::create(folder.join(format!("{node}.log")));
         let output = log.as_ref().ok().and_then(|log| log.try_clone().ok());
         let output = output.map_or_else(Stdio::null, Stdio::from);
-        let _ports = hold_ports();
-        let child = Command::new(program(name))
+        let _ports = lock_ports();
+        let child = Command::new(program_path(name))
             .arg("--settings")
             .arg(&file)
             .stdin(Stdio::null())
@@ -87,23 +90,23 @@
         Self::Child(child)
     }
 
-    /// Stops the process as a signal would, and waits for its end. Returns
-    /// whether it ended well.
+    /// Requests the process to stop, by SIGTERM if it is a child process, and
+    /// waits until it has exited. Returns whether it succeeded.
     ///
     /// # Panics
     ///
-    /// Panics if the system does not tell how a process ended.
+    /// Panics if the exit status cannot be read.
     pub async fn stop(&mut self) -> bool {
         self.ask_stop().await;
         self.ended().await
     }
 
-    /// Waits for the end of a process that was told to stop. Returns whether
-    /// it ended well.
+    /// Waits until a process that was requested to stop has exited. Returns
+    /// whether it succeeded.
     ///
     /// # Panics
     ///
-    /// Panics if the system does not tell how a process ended.
+    /// Panics if the exit status cannot be read.
     pub async fn ended(&mut self) -> bool {
         match self {
             Self::Task { task, .. } => match task.take() {
@@ -113,13 +116,13 @@
             Self::Child(child) => loop {
                 match child.try_wait().expect("a child can be waited for") {
                     Some(status) => return status.success(),
-                    None => smol::Timer::after(LOOK_EVERY).await,
+                    None => smol::Timer::after(EXIT_POLL_INTERVAL).await,
                 };
             },
         }
     }
 
-    /// Tells the process to stop, and does not wait.
+    /// Requests the process to stop, without waiting for its exit.
     pub async fn ask_stop(&mut self) {
         match self {
             Self::Task { stop, .. } => {
@@ -129,11 +132,11 @@
         }
     }
 
-    /// Returns whether it has ended.
+    /// Returns whether the process has exited.
     ///
     /// # Panics
     ///
-    /// Panics if the system does not tell.
+    /// Panics if the exit status cannot be read.
     pub fn has_ended(&mut self) -> bool {
         match self {
             Self::Task { task, .. } => task.as_ref().is_none_or(|task| task.is_finished()),
@@ -144,36 +147,37 @@
         }
     }
 
-    /// Kills a process of its own; it has no time to do anything.
+    /// Kills a child process by SIGKILL, so that it cannot shut down in order.
     ///
     /// # Panics
     ///
     /// Panics if it is a task, which cannot be killed.
     pub fn kill(&mut self) -> ExitStatus {
         let child = self.child();
-        child.kill().expect("our own child can be killed");
+        child.kill().expect("a child can be killed");
         child.wait().expect("a child can be waited for")
     }
 
-    /// Freezes a process of its own: its connections stay open and silent.
+    /// Suspends a child process by SIGSTOP. Its connections stay open, and nothing
+    /// is sent on them.
     ///
     /// # Panics
     ///
-    /// Panics if it is a task, which cannot be frozen.
+    /// Panics if it is a task, which cannot be suspended.
     pub fn freeze(&mut self) {
         signal(self.child(), "STOP");
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended child process by SIGCONT.
     ///
     /// # Panics
     ///
-    /// Panics if it is a task, which cannot be frozen.
+    /// Panics if it is a task, which cannot be suspended.
     pub fn thaw(&mut self) {
         signal(self.child(), "CONT");
     }
 
-    /// Tells a process of its own to read its settings anew.
+    /// Requests a child process to reload its settings, by SIGHUP.
     ///
     /// # Panics
     ///
@@ -182,7 +186,7 @@
         signal(self.child(), "HUP");
     }
 
-    /// Returns the number of the process in the system.
+    /// Returns the process id.
     ///
     /// # Panics
     ///
@@ -194,7 +198,9 @@
     fn child(&mut self) -> &mut Child {
         match self {
             Self::Child(child) => child,
-            Self::Task { .. } => panic!("start the site with Mode::Processes for this"),
+            Self::Task { .. } => {
+                panic!("this needs a child process; start the site with Mode::Processes")
+            }
         }
     }
 }
@@ -206,7 +212,7 @@
         .status();
     assert!(
         sent.is_ok_and(|status| status.success()),
-        "no signal to {}",
+        "cannot send a signal to process {}",
         child.id()
     );
 }
--- a/testutils/src/vms.rs
+++ b/testutils/src/vms.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's VM list.
+//! Fake of the platform's VM list.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// The stand-in; clones share their state. It shows what it was last told,
-/// so that a test makes it lag by telling it late.
+/// The fake VM list; clones share their state. It changes only by [`Self::set`],
+/// so that a test can simulate a stale list by calling that late.
 #[derive(Clone, Default)]
 pub struct StandInVms {
     vms: Arc<Mutex<BTreeMap<String, String>>>,
@@ -40,8 +40,8 @@
         Value::Array(rows.collect())
     }
 
-    /// Returns what answers the listener: `GET /vms`, and `POST /vms` with
-    /// `{"name", "state"}` for tests by hand.
+    /// Returns the request handler: `GET /vms` returns the list, and `POST /vms`
+    /// with `{"name", "state"}` sets the state of a VM, for manual tests.
     pub fn handler(&self) -> Handler {
         let this = self.clone();
         Arc::new(move |request| {
@@ -50,8 +50,8 @@
                 let body = request.into_body().collect().await;
                 let bytes = body.map(|body| body.to_bytes()).unwrap_or_default();
                 if let Ok(change) = serde_json::from_slice::<Value>(&bytes) {
-                    let word = |field: &str| change[field].as_str().unwrap_or_default().to_owned();
-                    this.set(&word("name"), &word("state"));
+                    let text = |field: &str| change[field].as_str().unwrap_or_default().to_owned();
+                    this.set(&text("name"), &text("state"));
                 }
                 json_answer(200, &this.list())
             })
--- a/testutils/src/wire.rs
+++ b/testutils/src/wire.rs
@@ -1,5 +1,5 @@
-//! A wire between two processes: passes bytes on, until a test makes the
-//! connections that it carries silent, slow or broken.
+//! A TCP proxy between two processes. It forwards bytes until a test makes its
+//! connections lose data, delays them or closes them.
 
 use std::net::Shutdown;
 use std::net::SocketAddr;
@@ -17,157 +17,166 @@
 
 use crate::listen::any_port;
 
-/// Bytes passed on at once.
-const PIECE: usize = 16 << 10;
+/// Largest number of bytes forwarded at once.
+const BUFFER_SIZE: usize = 16 << 10;
 
-/// Which way a wire loses what it carries.
+/// Direction in which data is lost. The client is the end that connected to the
+/// proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// From the end that dialled.
+    /// From the client to the server.
     Forth,
-    /// To the end that dialled.
+    /// From the server to the client.
     Back,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    /// Number of connections so far.
-    made: AtomicU64,
-    /// Connections below this number lose what the dialling end sends.
-    mute_forth: AtomicU64,
-    /// Connections below this number lose what the other end sends.
-    mute_back: AtomicU64,
-    /// Whether new connections are silent too, as on a network that is cut.
-    cut: AtomicBool,
-    /// Milliseconds that each piece takes longer.
-    delay: AtomicU64,
+    /// Number of connections accepted so far; they are numbered from 0.
+    accepted: AtomicU64,
+    /// Data that the client sends on connections below this number is lost.
+    muted_from_client: AtomicU64,
+    /// Data that the server sends on connections below this number is lost.
+    muted_from_server: AtomicU64,
+    /// Whether new connections lose their data too, as in a network partition.
+    partitioned: AtomicBool,
+    /// Milliseconds by which each read is delayed.
+    delay_ms: AtomicU64,
     /// Both ends of the connections that may still be open.
-    open: Mutex<Vec<TcpStream>>,
+    streams: Mutex<Vec<TcpStream>>,
 }
 
-/// A wire to one address.
+/// A proxy in front of one address.
 #[derive(Clone, Debug)]
 pub struct Wire {
-    at: SocketAddr,
+    address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Wire {
-    /// Makes a wire that leads to `to`.
+    /// Starts a proxy that forwards to `to`.
     ///
     /// # Panics
     ///
-    /// Panics if the system has no port left.
+    /// Panics if no port is free.
     pub async fn to(to: SocketAddr) -> Self {
         let listener = TcpListener::bind(any_port()).await;
         let listener = listener.expect("a port is free");
-        let at = listener.local_addr().expect("a bound listener has one");
+        let address = listener.local_addr().expect("a bound listener has one");
         let shared = Arc::new(Shared::default());
-        smol::spawn(take(listener, to, shared.clone())).detach();
-        Self { at, shared }
+        smol::spawn(accept(listener, to, shared.clone())).detach();
+        Self { address, shared }
     }
 
-    /// Returns its address.
+    /// Returns the address of the proxy.
     pub fn address(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
-    /// Returns the number of connections so far.
+    /// Returns the number of connections accepted so far.
     pub fn made(&self) -> u64 {
-        self.shared.made.load(Ordering::SeqCst)
+        self.shared.accepted.load(Ordering::SeqCst)
     }
 
-    /// Makes the connections that there are silent for good: both ends keep
-    /// them open, and nothing that is sent by them arrives.
+    /// Discards all further data on the current connections in this direction.
+    /// They stay open at both ends and never recover.
     pub fn silence(&self, way: Way) {
-        let made = self.made();
+        let accepted = self.made();
         if way != Way::Back {
-            self.shared.mute_forth.store(made, Ordering::SeqCst);
+            self.shared
+                .muted_from_client
+                .store(accepted, Ordering::SeqCst);
         }
         if way != Way::Forth {
-            self.shared.mute_back.store(made, Ordering::SeqCst);
+            self.shared
+                .muted_from_server
+                .store(accepted, Ordering::SeqCst);
         }
     }
 
-    /// Cuts the wire, or mends it: connections of that time stay silent for
-    /// good, new ones work once it is mended.
+    /// Starts or ends a network partition. Connections that exist at the change
+    /// lose all further data; those made after the end of the partition work.
     pub fn set_cut(&self, cut: bool) {
-        self.shared.cut.store(cut, Ordering::SeqCst);
+        self.shared.partitioned.store(cut, Ordering::SeqCst);
         self.silence(Way::Both);
     }
 
-    /// Has each piece take so much longer from now on.
+    /// Delays each further read by `delay`.
     pub fn set_delay(&self, delay: Duration) {
         let millis = delay.as_millis() as u64;
-        self.shared.delay.store(millis, Ordering::SeqCst);
+        self.shared.delay_ms.store(millis, Ordering::SeqCst);
     }
 
-    /// Breaks all connections that there are.
+    /// Closes all current connections.
     ///
     /// # Panics
     ///
     /// Panics if another thread panicked while it held the lock.
     pub fn reset(&self) {
-        let mut open = self.shared.open.lock().expect("no panic while locked");
-        for stream in open.drain(..) {
-            // It may have ended by itself.
+        let mut streams = self.shared.streams.lock().expect("no panic while locked");
+        for stream in streams.drain(..) {
+            // Either end may have closed it already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-async fn take(listener: TcpListener, to: SocketAddr, shared: Arc<Shared>) {
+async fn accept(listener: TcpListener, to: SocketAddr, shared: Arc<Shared>) {
     loop {
-        let Ok((near, _)) = listener.accept().await else {
+        let Ok((client, _)) = listener.accept().await else {
             return;
         };
-        let number = shared.made.fetch_add(1, Ordering::SeqCst);
-        if shared.cut.load(Ordering::SeqCst) {
-            shared.mute_forth.fetch_max(number + 1, Ordering::SeqCst);
-            shared.mute_back.fetch_max(number + 1, Ordering::SeqCst);
+        let number = shared.accepted.fetch_add(1, Ordering::SeqCst);
+        if shared.partitioned.load(Ordering::SeqCst) {
+            shared
+                .muted_from_client
+                .fetch_max(number + 1, Ordering::SeqCst);
+            shared
+                .muted_from_server
+                .fetch_max(number + 1, Ordering::SeqCst);
         }
-        let Ok(far) = TcpStream::connect(to).await else {
+        let Ok(server) = TcpStream::connect(to).await else {
             continue;
         };
-        let mut open = shared.open.lock().expect("no panic while locked");
-        open.retain(|stream| stream.peer_addr().is_ok());
-        open.extend([near.clone(), far.clone()]);
-        drop(open);
-        let forth = {
+        let mut streams = shared.streams.lock().expect("no panic while locked");
+        streams.retain(|stream| stream.peer_addr().is_ok());
+        streams.extend([client.clone(), server.clone()]);
+        drop(streams);
+        let from_client = {
             let shared = shared.clone();
-            pass(near.clone(), far.clone(), shared.clone(), move || {
-                shared.mute_forth.load(Ordering::SeqCst) > number
+            forward(client.clone(), server.clone(), shared.clone(), move || {
+                shared.muted_from_client.load(Ordering::SeqCst) > number
             })
         };
-        let back = {
+        let from_server = {
             let shared = shared.clone();
-            pass(far, near, shared.clone(), move || {
-                shared.mute_back.load(Ordering::SeqCst) > number
+            forward(server, client, shared.clone(), move || {
+                shared.muted_from_server.load(Ordering::SeqCst) > number
             })
         };
-        smol::spawn(forth).detach();
-        smol::spawn(back).detach();
+        smol::spawn(from_client).detach();
+        smol::spawn(from_server).detach();
     }
 }
 
-/// Passes bytes on; what comes while `is_mute` holds is lost, and so is the
-/// end of the stream.
-async fn pass(
+/// Forwards bytes. Whatever is read while `is_muted` returns true is discarded,
+/// the end of the stream included.
+async fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     shared: Arc<Shared>,
-    is_mute: impl Fn() -> bool,
+    is_muted: impl Fn() -> bool,
 ) {
-    let mut bytes = vec![0; PIECE];
+    let mut bytes = vec![0; BUFFER_SIZE];
     loop {
         let size = from.read(&mut bytes).await.unwrap_or(0);
-        let delay = shared.delay.load(Ordering::SeqCst);
-        if delay > 0 {
-            smol::Timer::after(Duration::from_millis(delay)).await;
+        let delay_ms = shared.delay_ms.load(Ordering::SeqCst);
+        if delay_ms > 0 {
+            smol::Timer::after(Duration::from_millis(delay_ms)).await;
         }
-        if is_mute() {
+        if is_muted() {
             if size == 0 {
                 return;
             }
