--- a/testutils/src/bin/limpetferry-load.rs
+++ b/testutils/src/bin/limpetferry-load.rs
@@ -1,5 +1,5 @@
-//! Measures a site on loopback: what the system adds to a call, what it
-//! carries, what it holds, and how fast it recovers. Every run is bounded.
+//! Measures a site on loopback: added latency per call, throughput, memory and
+//! recovery time. The amount of work or the duration of each run is limited.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,7 +19,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Measures a site of stand-ins and real processes on loopback.
+/// Measures a site of real processes, with fake backend servers, on loopback.
 #[derive(Parser)]
 struct Args {
     #[command(subcommand)]
@@ -28,86 +28,86 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Compares calls through entry and side process with calls of the
-    /// engine stand-in itself.
+    /// Compares calls through an entry and a side process with direct calls of the
+    /// fake engine.
     Added {
-        /// Callers at once.
+        /// Number of concurrent callers.
         #[arg(long, default_value_t = 4)]
         callers: usize,
-        /// Calls of each caller.
+        /// Number of calls of each caller.
         #[arg(long, default_value_t = 2_000)]
         calls: usize,
-        /// Tokens of each answer.
+        /// Number of tokens in each answer.
         #[arg(long, default_value_t = 1)]
         tokens: u64,
-        /// Time for each token, in microseconds.
+        /// Time that the engine takes for each token, in microseconds.
         #[arg(long, default_value_t = 0)]
         token_us: u64,
     },
-    /// Holds calls at the engine and reports the memory of each.
+    /// Holds calls at the engine and reports the memory used per call.
     Waiting {
-        /// Calls at once; each needs some file descriptors.
+        /// Number of concurrent calls; each needs several file descriptors.
         #[arg(long, default_value_t = 400)]
         count: usize,
     },
-    /// Compares calls that the keeper must know of with calls that need none.
+    /// Compares calls that the keeper has to record with calls that need no keeper.
     Keeper {
-        /// Calls of each kind.
+        /// Number of calls of each kind.
         #[arg(long, default_value_t = 2_000)]
         calls: usize,
-        /// Gives the side processes data folders.
+        /// Runs the side processes with data folders.
         #[arg(long)]
         data: bool,
     },
-    /// Opens programs and reports the memory of owner and keeper.
+    /// Opens programs and reports the memory used per program by owner and keepers.
     Programs {
-        /// Programs.
+        /// Number of programs.
         #[arg(long, default_value_t = 5_000)]
         count: usize,
-        /// Bytes of each program's history.
+        /// Size of each program's history, in bytes; 0 for none.
         #[arg(long, default_value_t = 0)]
         history: usize,
     },
-    /// Reports what an idle site uses.
+    /// Reports the CPU time, memory, traffic and store calls of an idle site.
     Idle {
-        /// Side processes.
+        /// Number of side processes.
         #[arg(long, default_value_t = 8)]
         sides: usize,
-        /// Entries.
+        /// Number of entries.
         #[arg(long, default_value_t = 2)]
         entries: usize,
     },
-    /// Applies patches and reports when they are in force in all processes.
+    /// Applies patches and reports the time until they are in force in all processes.
     Patch {
-        /// Patches.
+        /// Number of patches.
         #[arg(long, default_value_t = 50)]
         count: u64,
-        /// Entries.
+        /// Number of entries.
         #[arg(long, default_value_t = 4)]
         entries: usize,
-        /// Side processes.
+        /// Number of side processes.
         #[arg(long, default_value_t = 20)]
         sides: usize,
     },
-    /// Times the decisions of one entry for a call, without sockets.
+    /// Measures the time of one entry's decisions per call, without sockets.
     Decide {
-        /// Backend servers.
+        /// Number of backend servers.
         #[arg(long, default_value_t = 12)]
         workers: usize,
-        /// Programs that the entry owns meanwhile.
+        /// Number of programs that the entry owns.
         #[arg(long, default_value_t = 1_000)]
         programs: u64,
     },
-    /// Kills an entry and reports when its programs answer again.
+    /// Kills a process and reports the time until calls of the programs succeed
+    /// again.
     Takeover {
-        /// Programs.
+        /// Number of programs.
         #[arg(long, default_value_t = 200)]
         programs: usize,
-        /// What to kill: `entry-1`, or a side process.
+        /// Name of the process to kill: `entry-1` or a side process.
         #[arg(long, default_value = "entry-1")]
         victim: String,
-        /// Kills all side processes too and starts them again; they have data
-        /// folders.
+        /// Also kills and restarts all side processes; they have data folders.
         #[arg(long)]
         pairs: bool,
     },
@@ -116,14 +116,16 @@
 const CHAT: &str = "/v1/chat/completions";
 const LOOKUP: &str = "/v1/tools/transfers/lookup";
 const TRANSFER: &str = "/v1/tools/transfers/move";
-/// Highest latency that a histogram tells apart, in microseconds.
-const MOST_US: u64 = 60_000_000;
+/// Largest latency that a histogram can record, in microseconds; longer ones are
+/// counted as this one.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MOST_US, 3).expect("the bounds are valid")
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are valid")
 }
 
-fn row(name: &str, times: &Histogram<u64>) -> String {
+/// Formats the number and the quantiles of `times` as `key=value` pairs.
+fn latency_fields(name: &str, times: &Histogram<u64>) -> String {
     format!(
         "{name}_count={} {name}_p50_us={} {name}_p99_us={} {name}_max_us={}",
         times.len(),
@@ -133,8 +135,9 @@
     )
 }
 
-/// Runs `calls` calls in turn and records how long each took.
-async fn run(
+/// Sends `calls` calls one after the other and records the latency of those that
+/// succeed.
+async fn run_calls(
     caller: &Caller,
     calls: usize,
     path: &str,
@@ -144,18 +147,19 @@
     let mut times = histogram();
     for _ in 0..calls {
         let start = Instant::now();
-        let got = caller.send("POST", path, headers, body).await;
-        let took = start.elapsed().as_micros() as u64;
-        match got {
-            Ok(got) if got.status == 200 => times.saturating_record(took),
+        let result = caller.send("POST", path, headers, body).await;
+        let latency_us = start.elapsed().as_micros() as u64;
+        match result {
+            Ok(response) if response.status == 200 => times.saturating_record(latency_us),
             other => eprintln!("failed={other:?}"),
         }
     }
     times
 }
 
-/// Runs many callers at once, and returns their times and the whole time.
-async fn run_all(
+/// Runs all callers concurrently; returns the latencies of their calls and the
+/// total duration.
+async fn run_callers(
     callers: Vec<Caller>,
     calls: usize,
     path: &str,
@@ -164,7 +168,7 @@
     let start = Instant::now();
     let runs = callers
         .iter()
-        .map(|caller| run(caller, calls, path, &[], body));
+        .map(|caller| run_calls(caller, calls, path, &[], body));
     let mut all = histogram();
     for times in futures_util::future::join_all(runs).await {
         all.add(times).expect("the bounds are equal");
@@ -180,22 +184,24 @@
         ..EngineRules::default()
     };
     site.engines[0].set_rules(rules);
-    let (direct, _stop) = listen(any_port(), site.engines[0].handler()).await;
+    let (engine_address, _stop) = listen(any_port(), site.engines[0].handler()).await;
     let body = json!({"model": "cask-7b", "messages": [{"role": "user", "content": "hello"}]});
     let ids = [site.process("entry-1").id(), site.process("engine-1").id()];
     for round in 1..=3 {
-        let straight = (0..callers).map(|_| Caller::new(direct, "none")).collect();
-        let (straight, straight_time) = run_all(straight, calls, CHAT, &body).await;
+        let direct = (0..callers)
+            .map(|_| Caller::new(engine_address, "none"))
+            .collect();
+        let (direct, direct_time) = run_callers(direct, calls, CHAT, &body).await;
         let before = ids.map(cpu_time);
         let through = (0..callers).map(|_| site.caller(0)).collect();
-        let (through, through_time) = run_all(through, calls, CHAT, &body).await;
+        let (through, through_time) = run_callers(through, calls, CHAT, &body).await;
         let used = [cpu_time(ids[0]) - before[0], cpu_time(ids[1]) - before[1]];
         let total = (callers * calls) as f64;
         println!(
             "round={round} callers={callers} tokens={tokens} {} {} direct_calls_s={:.0} through_calls_s={:.0} entry_cpu_us={:.0} side_cpu_us={:.0}",
-            row("direct", &straight),
-            row("through", &through),
-            total / straight_time.as_secs_f64(),
+            latency_fields("direct", &direct),
+            latency_fields("through", &through),
+            total / direct_time.as_secs_f64(),
             total / through_time.as_secs_f64(),
             used[0].as_secs_f64() * 1e6 / total,
             used[1].as_secs_f64() * 1e6 / total,
@@ -203,16 +209,23 @@
     }
 }
 
+/// Opens programs through the first entry and returns the ids of those that were
+/// opened.
 async fn open_programs(site: &Site, count: usize) -> Vec<String> {
     let mut programs = Vec::new();
     for _ in 0..count {
-        let got = site
+        let result = site
             .caller(0)
             .send("POST", "/v1/programs", &[], &Value::Null)
             .await;
-        match got {
-            Ok(got) if got.status == 200 => {
-                programs.push(got.json()["id"].as_str().unwrap_or_default().to_owned());
+        match result {
+            Ok(response) if response.status == 200 => {
+                programs.push(
+                    response.json()["id"]
+                        .as_str()
+                        .unwrap_or_default()
+                        .to_owned(),
+                );
             }
             other => eprintln!("failed=open got={other:?}"),
         }
@@ -230,19 +243,20 @@
     let body = json!({"cask": 12});
     for round in 1..=3 {
         let before = site.store.calls().values().sum::<u64>();
-        let free = run(&caller, calls, LOOKUP, &[], &body).await;
-        let mut kept = histogram();
+        let lookups = run_calls(&caller, calls, LOOKUP, &[], &body).await;
+        let mut transfers = histogram();
         for _ in 0..calls / 50 {
             let program = open_programs(&site, 1).await.remove(0);
             let headers = [("limpetferry-program", program.as_str())];
-            kept.add(run(&caller, 50, TRANSFER, &headers, &body).await)
+            transfers
+                .add(run_calls(&caller, 50, TRANSFER, &headers, &body).await)
                 .expect("the bounds are equal");
         }
         let store = site.store.calls().values().sum::<u64>() - before;
         println!(
             "round={round} {} {} store_calls={store}",
-            row("lookup", &free),
-            row("transfer", &kept)
+            latency_fields("lookup", &lookups),
+            latency_fields("transfer", &transfers)
         );
     }
 }
@@ -258,16 +272,16 @@
         let body = json!({"model": "cask-7b", "max_tokens": 1, "messages": [{"role": "user", "content": text}]});
         for id in &ids {
             let headers = [("limpetferry-program", id.as_str())];
-            run(&site.caller(0), 1, CHAT, &headers, &body).await;
+            run_calls(&site.caller(0), 1, CHAT, &headers, &body).await;
         }
     }
     let after = memories(&mut site);
-    let grown: Vec<u64> = (0..3).map(|i| after[i].saturating_sub(before[i])).collect();
+    let growth: Vec<u64> = (0..3).map(|i| after[i].saturating_sub(before[i])).collect();
     println!(
         "programs={count} history={history} entry_start={} entry_bytes_each={} keepers_bytes_each={}",
         before[0],
-        grown[0] / count as u64,
-        (grown[1] + grown[2]) / count as u64
+        growth[0] / count as u64,
+        (growth[1] + growth[2]) / count as u64
     );
 }
 
@@ -280,11 +294,11 @@
         .send("POST", "/v1/config/patches", &[], &patch)
         .await;
     site.in_force_everywhere(2).await;
-    let held = EngineRules {
+    let holding = EngineRules {
         hold: true,
         ..EngineRules::default()
     };
-    site.engines[0].set_rules(held);
+    site.engines[0].set_rules(holding);
     let ids = [site.process("entry-1").id(), site.process("engine-1").id()];
     let before = ids.map(memory);
     let body = json!({"model": "cask-7b", "messages": [{"role": "user", "content": "hello"}]});
@@ -292,9 +306,9 @@
     let calls = futures_util::future::join_all(
         callers
             .iter()
-            .map(|caller| run(caller, 1, CHAT, &[], &body)),
+            .map(|caller| run_calls(caller, 1, CHAT, &[], &body)),
     );
-    let looking = async {
+    let measure = async {
         while site.engines[0].running() < count as u64 {
             smol::Timer::after(Duration::from_millis(50)).await;
         }
@@ -302,7 +316,7 @@
         site.engines[0].set_rules(EngineRules::default());
         after
     };
-    let (times, after) = futures_lite::future::zip(calls, looking).await;
+    let (times, after) = futures_lite::future::zip(calls, measure).await;
     let answered: u64 = times.iter().map(Histogram::len).sum();
     println!(
         "waiting={count} answered={answered} entry_bytes_each={} side_bytes_each={}",
@@ -339,17 +353,20 @@
         let change = json!({"deployments": {"register": {"program": {"tokens": 150_000 + base}}}});
         let patch = json!({"id": format!("p{base}"), "base": base, "change": {"merge": change}});
         let start = Instant::now();
-        let sent = operator
+        let result = operator
             .send("POST", "/v1/config/patches", &[], &patch)
             .await;
-        if !sent.is_ok_and(|got| got.status == 200) {
+        if !result.is_ok_and(|response| response.status == 200) {
             eprintln!("failed=patch base={base}");
             continue;
         }
         site.in_force_everywhere(base + 1).await;
         times.saturating_record(start.elapsed().as_micros() as u64);
     }
-    println!("entries={entries} sides={sides} {}", row("patch", &times));
+    println!(
+        "entries={entries} sides={sides} {}",
+        latency_fields("patch", &times)
+    );
 }
 
 async fn takeover(count: usize, victim: &str, pairs: bool) {
@@ -372,23 +389,23 @@
     }
     let start = Instant::now();
     let site = &site;
-    let again = programs.iter().map(|program| async move {
+    let recoveries = programs.iter().map(|program| async move {
         let caller = site.caller(last);
         let headers = [
             ("limpetferry-program", program.as_str()),
             ("idempotency-key", "t1"),
         ];
         loop {
-            let got = caller.send("POST", TRANSFER, &headers, &json!({})).await;
-            if got.is_ok_and(|got| got.status == 200) {
+            let result = caller.send("POST", TRANSFER, &headers, &json!({})).await;
+            if result.is_ok_and(|response| response.status == 200) {
                 return start.elapsed().as_micros() as u64;
             }
             smol::Timer::after(Duration::from_millis(50)).await;
         }
     });
     let mut times = histogram();
-    for took in futures_util::future::join_all(again).await {
-        times.saturating_record(took);
+    for recovery_us in futures_util::future::join_all(recoveries).await {
+        times.saturating_record(recovery_us);
     }
     let runs: Vec<u64> = site
         .services
@@ -398,12 +415,13 @@
     let doubled = runs.iter().filter(|count| **count > 1).count();
     println!(
         "victim={victim} {} lost={} doubled={doubled}",
-        row("again", &times),
+        latency_fields("again", &times),
         count - runs.len()
     );
 }
 
-/// The reducer of an entry alone, with a keeper that answers at once.
+/// Measures the reducer of an entry alone, with a keeper and backend servers that
+/// answer immediately.
 mod decide {
     use std::time::Duration;
     use std::time::Instant;
@@ -431,17 +449,20 @@
     use limpetferry_lib::time::Time;
     use serde_json::json;
 
+    /// Number of calls that are measured.
     const CALLS: u64 = 20_000;
 
     struct Bench {
         entry: Entry,
         now: Time,
-        took: Duration,
+        /// Time spent in the reducer.
+        spent: Duration,
     }
 
     impl Bench {
-        /// Steps the reducer, answering for keeper and servers, until nothing
-        /// is left to do; only the reducer's own time counts.
+        /// Steps the reducer with `event` and then with the answers of the keeper and
+        /// the servers, until there are none left. Only the time that the reducer
+        /// takes is counted.
         fn step(&mut self, event: Event) {
             let mut events = vec![event];
             while let Some(event) = events.pop() {
@@ -449,13 +470,14 @@
                 let mut out = Vec::new();
                 let start = Instant::now();
                 self.entry.step(self.now, event, &mut out);
-                self.took += start.elapsed();
-                events.extend(out.into_iter().filter_map(answer));
+                self.spent += start.elapsed();
+                events.extend(out.into_iter().filter_map(reply_to));
             }
         }
     }
 
-    fn answer(effect: Effect) -> Option<Event> {
+    /// Returns the answer of the keeper or of a backend server to an effect.
+    fn reply_to(effect: Effect) -> Option<Event> {
         let Effect::Send { to, message } = effect else {
             return None;
         };
@@ -479,8 +501,10 @@
         Some(Event::Message { from: to, message })
     }
 
-    fn entry(workers: usize) -> Entry {
-        let name = |index: usize| NodeId::new(format!("w{index:05}"));
+    /// Returns an entry that owns all shards, with these backend servers in its
+    /// document and linked to it.
+    fn new_entry(workers: usize) -> Entry {
+        let node_id = |index: usize| NodeId::new(format!("w{index:05}"));
         let rules = Rules {
             shards: 64,
             programs: 10_000_000,
@@ -491,7 +515,7 @@
         let mut out = Vec::new();
         let nodes: Vec<Node> = (0..workers)
             .map(|index| Node {
-                id: name(index),
+                id: node_id(index),
                 role: Role::Side,
                 centre: DataCentre::new("b"),
                 address: "-".into(),
@@ -523,7 +547,7 @@
         entry.step(now, Event::Document(envelope.to_string()), &mut out);
         let assignment = Assignment {
             owner: Some(me),
-            keeper: Some(name(0)),
+            keeper: Some(node_id(0)),
             epoch: Epoch(1),
             chosen: Epoch(1),
             lost: Epoch(0),
@@ -543,7 +567,7 @@
         entry
     }
 
-    fn call(program: ProgramId, serial: u64) -> Request {
+    fn call_request(program: ProgramId, serial: u64) -> Request {
         Request::Call(Box::new(CallRequest {
             program,
             call: CallId(u128::from(serial) + (1 << 64)),
@@ -567,21 +591,21 @@
         }))
     }
 
-    /// Prints the reducer's time for each call of a program, from its arrival
-    /// to its end.
+    /// Prints the mean time that the reducer takes for a call of a program, from its
+    /// arrival to its end, and for a tick.
     pub fn run(workers: usize, programs: u64) {
         let mut bench = Bench {
-            entry: entry(workers),
+            entry: new_entry(workers),
             now: Time::from_millis(2),
-            took: Duration::ZERO,
+            spent: Duration::ZERO,
         };
-        // The first acknowledgement ends the filling of the keeper.
         let ids: Vec<ProgramId> = (1..=programs)
             .map(|leaf| ProgramId {
                 root: leaf.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 leaf,
             })
             .collect();
+        // The first acknowledgement completes the initial copy of a shard to the keeper.
         for shard in 0..64 {
             let message = Message::Kept {
                 shard: ShardId(shard),
@@ -594,7 +618,7 @@
             });
         }
         let mut serial = 0;
-        let mut ask = |bench: &mut Bench, request: Request| {
+        let mut send_request = |bench: &mut Bench, request: Request| {
             serial += 1;
             bench.step(Event::Caller {
                 caller: CallerKey(serial),
@@ -613,23 +637,23 @@
                     calls: 1_000_000,
                 },
             };
-            ask(&mut bench, Request::Open(open));
+            send_request(&mut bench, Request::Open(open));
         }
         let opened = bench.entry.owner().programs_open();
-        bench.took = Duration::ZERO;
+        bench.spent = Duration::ZERO;
         for serial in 0..CALLS {
             let id = ids[(serial.wrapping_mul(7_919) % programs) as usize];
-            ask(&mut bench, call(id, serial));
+            send_request(&mut bench, call_request(id, serial));
         }
-        let calls = bench.took.as_secs_f64() * 1e6 / CALLS as f64;
+        let call_us = bench.spent.as_secs_f64() * 1e6 / CALLS as f64;
         let ticks = 50;
-        bench.took = Duration::ZERO;
+        bench.spent = Duration::ZERO;
         for _ in 0..ticks {
             bench.now = bench.now + Duration::from_millis(25);
             bench.step(Event::Tick);
         }
-        let tick = bench.took.as_secs_f64() * 1e6 / f64::from(ticks);
-        println!("workers={workers} programs={opened} call_us={calls:.2} tick_us={tick:.1}");
+        let tick_us = bench.spent.as_secs_f64() * 1e6 / f64::from(ticks);
+        println!("workers={workers} programs={opened} call_us={call_us:.2} tick_us={tick_us:.1}");
     }
 }
 
--- a/testutils/src/bin/limpetferry-relay-load.rs
+++ b/testutils/src/bin/limpetferry-relay-load.rs
@@ -1,6 +1,6 @@
-//! Measures what a gateway and the keepers cost: a site of real processes
-//! before stand-ins, callers that send turns and lookups in a closed loop, and
-//! the processor time of each process.
+//! Measures the CPU time that a gateway and the keepers use. Runs a site of real
+//! processes with a fake platform and fake backend servers; callers send turns and
+//! lookups in a closed loop.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -12,49 +12,50 @@
 use clap::Parser;
 use limpetferry_testutils::platform_site::PlatformSite;
 
-/// Clock ticks in a second, as the system counts processor time.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second (`USER_HZ`), the unit of CPU times in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Turns of a program, as on the sheets.
+/// Turns per program, as in the specification of the users' platform.
 const PROGRAM_TURNS: usize = 7;
 
-/// Measures the processor time of turns and lookups.
+/// Measures the CPU time of turns and lookups.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// Callers at once.
+    /// Number of concurrent callers.
     #[arg(long, default_value_t = 8)]
     callers: usize,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Lookups after each turn.
+    /// Number of lookups after each turn.
     #[arg(long, default_value_t = 2)]
     lookups: usize,
-    /// Prints the processes and waits this long before the load, for a
-    /// profiler.
+    /// Seconds between the output of the process ids and the start of the load, in
+    /// which a profiler can be attached.
     #[arg(long, default_value_t = 0)]
     wait: u64,
 }
 
-/// Returns the processor time of a process so far, in seconds.
-fn processor(id: u32) -> f64 {
+/// Returns the CPU time that a process has used so far, in seconds.
+fn cpu_seconds(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let times = fields.split_whitespace().skip(11).take(2);
     let ticks: f64 = times.filter_map(|field| field.parse::<f64>().ok()).sum();
-    ticks / TICKS
+    ticks / TICKS_PER_SECOND
 }
 
-async fn call(
+/// Sends turns, each followed by lookups, until `stop` is set.
+async fn run_caller(
     site: &PlatformSite,
     caller: usize,
     args: &Args,
-    over: &AtomicBool,
-    done: &AtomicU64,
+    stop: &AtomicBool,
+    completed: &AtomicU64,
 ) {
     let mut number = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let program = format!("program-{caller}-{}", number / PROGRAM_TURNS);
         number += 1;
         let headers = [
@@ -72,7 +73,7 @@
             }
         }
         if turn.is_ok_and(|answer| answer.whole) {
-            done.fetch_add(1, Ordering::Relaxed);
+            completed.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -85,23 +86,24 @@
         let ids = nodes.map(|node| site.process(node).id());
         println!("processes={ids:?}");
         smol::Timer::after(Duration::from_secs(args.wait)).await;
-        let before = ids.map(processor);
-        let over = AtomicBool::new(false);
-        let done = Arc::new(AtomicU64::new(0));
+        let before = ids.map(cpu_seconds);
+        let stop = AtomicBool::new(false);
+        let completed = Arc::new(AtomicU64::new(0));
         let start = Instant::now();
-        let calls = (0..args.callers).map(|caller| call(&site, caller, &args, &over, &done));
-        let stop = async {
+        let callers =
+            (0..args.callers).map(|caller| run_caller(&site, caller, &args, &stop, &completed));
+        let set_stop = async {
             smol::Timer::after(Duration::from_secs(args.seconds)).await;
-            over.store(true, Ordering::Relaxed);
+            stop.store(true, Ordering::Relaxed);
         };
-        futures_lite::future::zip(futures_util::future::join_all(calls), stop).await;
-        let turns = done.load(Ordering::Relaxed) as f64;
+        futures_lite::future::zip(futures_util::future::join_all(callers), set_stop).await;
+        let turns = completed.load(Ordering::Relaxed) as f64;
         println!(
             "turns={turns} per_s={:.0}",
             turns / start.elapsed().as_secs_f64()
         );
         for ((node, id), before) in nodes.iter().zip(ids).zip(before) {
-            let used = processor(id) - before;
+            let used = cpu_seconds(id) - before;
             println!(
                 "node={node} processor_s={used:.2} us_per_turn={:.0}",
                 used / turns * 1e6
--- a/testutils/src/platform_server.rs
+++ b/testutils/src/platform_server.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a backend server of the users' platform: a plain service or an
-//! engine that streams, with the faults that their pages name.
+//! Fake of a backend server of the users' platform: a plain service or an engine
+//! that streams, with the faults that the platform specifies.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -25,42 +25,44 @@
 
 use crate::listen::any_port;
 
-/// Events of each stream.
+/// Number of events in each stream.
 pub const EVENTS: u64 = 5;
 /// Time between events.
-const EVENT_PAUSE: Duration = Duration::from_millis(2);
+const EVENT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Time between events of a slow stream.
-const SLOW_PAUSE: Duration = Duration::from_millis(550);
+/// Time between events of a slow stream, in which a test can act.
+const SLOW_EVENT_INTERVAL: Duration = Duration::from_millis(550);
 
 /// What the server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It answers.
+    /// Executes the request and answers.
     Answer,
-    /// It answers with a pause between events that a test can act in.
+    /// Answers with a stream whose events come so slowly that a test can act
+    /// between them.
     Slowly,
-    /// It answers, and cuts a stream off after so many events.
+    /// Answers, and aborts the stream after this number of events.
     CutAfter(u64),
-    /// It runs the request, and closes the connection instead of answering.
+    /// Executes the request, and closes the connection instead of answering.
     LoseAnswer,
-    /// It runs the request and never answers.
+    /// Executes the request and never answers.
     Hang,
-    /// It has no room and does not run the request.
+    /// Has no capacity, and refuses the request without executing it.
     Shed,
-    /// Another server has its address, and does not run the request.
+    /// Answers as a different server that now has the address; that one does not
+    /// execute the request.
     Replaced,
-    /// It runs the request and answers with this status of its own.
+    /// Executes the request and answers with this status.
     Status(u16),
-    /// It answers without its signature.
+    /// Answers without the header of its signature.
     Unsigned,
-    /// It answers another attempt's request.
+    /// Answers with the id of another attempt.
     Crossed,
-    /// Something on the way encoded the body.
+    /// Answers as if an intermediary had encoded the body.
     Encoded,
 }
 
-/// A request that the server ran.
+/// A request that the server executed.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// Id of the attempt.
@@ -79,14 +81,14 @@
     runs: Vec<Run>,
 }
 
-/// The stand-in; clones share their state.
+/// The fake server; clones share their state.
 #[derive(Clone, Default)]
 pub struct StandInServer {
     state: Arc<Mutex<State>>,
 }
 
 impl StandInServer {
-    /// Starts a server, and returns its address.
+    /// Starts to listen, and returns the address.
     ///
     /// # Panics
     ///
@@ -94,11 +96,11 @@
     pub async fn start(&self) -> SocketAddr {
         let listener = TcpListener::bind(any_port()).await.expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has one");
-        let this = self.clone();
+        let server = self.clone();
         smol::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let this = this.clone();
-                smol::spawn(async move { this.serve(stream).await }).detach();
+                let server = server.clone();
+                smol::spawn(async move { server.serve(stream).await }).detach();
             }
         })
         .detach();
@@ -107,10 +109,10 @@
 
     async fn serve(&self, stream: smol::net::TcpStream) {
         let service = hyper::service::service_fn(|request| {
-            let this = self.clone();
-            async move { this.answer(request).await }
+            let server = self.clone();
+            async move { server.answer(request).await }
         });
-        // A connection that is cut on purpose ends with an error.
+        // Serving fails for connections that a behaviour closes on purpose.
         let _ = hyper::server::conn::http1::Builder::new()
             .serve_connection(FuturesIo::new(stream), service)
             .await;
@@ -120,13 +122,13 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Says what the server does with the next requests; it answers those
-    /// that come after them.
-    pub fn behave(&self, next: impl IntoIterator<Item = Behaviour>) {
-        self.lock().next.extend(next);
+    /// Queues behaviours, one for each of the next requests. Once the queue is
+    /// empty, requests get [`Behaviour::Answer`].
+    pub fn behave(&self, behaviours: impl IntoIterator<Item = Behaviour>) {
+        self.lock().next.extend(behaviours);
     }
 
-    /// Returns the requests that it ran.
+    /// Returns the requests that the server executed, in their order.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
@@ -150,7 +152,7 @@
             Behaviour::Hang => futures_lite::future::pending::<()>().await,
             _ => {}
         }
-        Ok(make(&run, behaviour))
+        Ok(build_response(&run, behaviour))
     }
 
     async fn run(&self, request: Request<Incoming>) -> Run {
@@ -171,7 +173,7 @@
     }
 }
 
-fn make(run: &Run, behaviour: Behaviour) -> Response<Body> {
+fn build_response(run: &Run, behaviour: Behaviour) -> Response<Body> {
     let attempt = match behaviour {
         Behaviour::Crossed => "another",
         _ => &run.attempt,
@@ -197,29 +199,29 @@
     response.body(body).expect("constant headers are valid")
 }
 
-/// Makes the rest of a stream. Its events depend on nothing but their number,
-/// so that a stream that goes on elsewhere is the same.
+/// Builds the stream from the event after `Last-Event-ID`. Each event depends only
+/// on its number, so that a stream resumed at another server has the same content.
 fn stream(run: &Run, behaviour: Behaviour) -> Body {
     let last = run.headers.get("last-event-id");
     let last: u64 = last
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .unwrap_or(0);
-    let cut = match behaviour {
+    let abort_at = match behaviour {
         Behaviour::CutAfter(events) => last + events,
         _ => EVENTS,
     };
-    let pause = match behaviour {
-        Behaviour::Slowly => SLOW_PAUSE,
-        _ => EVENT_PAUSE,
+    let interval = match behaviour {
+        Behaviour::Slowly => SLOW_EVENT_INTERVAL,
+        _ => EVENT_INTERVAL,
     };
     let frames = unfold(last, move |number| async move {
         if number == EVENTS {
             return None;
         }
-        if number >= cut {
+        if number >= abort_at {
             return Some((Err(Cut), EVENTS));
         }
-        smol::Timer::after(pause).await;
+        smol::Timer::after(interval).await;
         let number = number + 1;
         let event = format!("id: {number}\ndata: word {number}\n\n");
         Some((Ok(Frame::data(Bytes::from(event))), number))
@@ -227,14 +229,14 @@
     StreamBody::new(frames).boxed_unsync()
 }
 
-/// Returns the text that the events of a whole stream make.
+/// Returns the text of all events of a complete stream.
 pub fn whole_stream() -> String {
     (1..=EVENTS)
         .map(|number| format!("id: {number}\ndata: word {number}\n\n"))
         .collect()
 }
 
-/// Returns what a turn adds to the history for a whole stream.
+/// Returns what a turn with a complete stream adds to the history.
 pub fn whole_output() -> String {
     (1..=EVENTS)
         .map(|number| format!("word {number}\n"))
--- a/testutils/src/platform_site.rs
+++ b/testutils/src/platform_site.rs
@@ -1,5 +1,5 @@
-//! Gateways and keepers as processes of their own, before stand-ins of the
-//! users' platform and its servers.
+//! Sites for tests: gateways and keepers as child processes, with fakes of the
+//! users' platform and of its backend servers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,28 +37,29 @@
 use crate::process::Process;
 use crate::wire::Wire;
 
-/// Key of the system's processes in tests.
+/// Key with which the processes of the site authenticate each other.
 const KEY: &str = "a key for the tests of a site";
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "agents.example";
-/// Longest wait for the site to serve; a test that needs more has failed.
-const START_WAIT: Duration = Duration::from_secs(30);
-/// Time between looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Longest wait until the site is ready or another awaited condition holds; a test
+/// that needs longer fails.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for an answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(15);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Wires through which the processes of a site reach each other.
+/// TCP proxies through which the processes of a site connect to each other.
 #[derive(Default)]
 pub struct Wires {
-    /// To the platform's store.
+    /// In front of the platform's store.
     pub store: Vec<Wire>,
-    /// From each keeper to the first of these, so that one keeper alone hears
-    /// nothing of the store.
+    /// For each keeper, between it and the proxy in `store`, so that a single keeper
+    /// can be cut off from the store.
     pub watches: Vec<Wire>,
-    /// To each keeper.
+    /// In front of each keeper.
     pub keepers: Vec<Wire>,
-    /// To each server, in the order in which they were added.
+    /// In front of each server, in the order in which they were added.
     pub servers: Vec<Wire>,
 }
 
@@ -66,63 +67,63 @@
 pub struct PlatformSite {
     /// The platform's store.
     pub store: StandInPlatform,
-    /// The engines.
+    /// Backend servers of the service `engine`, which stream.
     pub engines: Vec<StandInServer>,
-    /// The plain servers.
+    /// Backend servers of the service `plain`.
     pub plain: Vec<StandInServer>,
     processes: BTreeMap<String, Process>,
     gateways: Vec<GatewaySettings>,
     keepers: Vec<KeeperSettings>,
     folder: Folder,
-    /// Between the processes, if they are to be disturbed.
+    /// Proxies between the processes; empty unless the site was started with them.
     pub wires: Wires,
-    wired: bool,
-    /// Decisions that gateways make.
+    has_proxies: bool,
+    /// Switches of the gateways.
     switches: Switches,
-    /// How long the store may hold a call that watches it.
-    hold: Duration,
-    /// Keeps the store's listener open.
-    _store_open: async_channel::Sender<()>,
+    /// Longest time for which the store may delay the answer to a watch.
+    long_poll: Duration,
+    /// The store's listener closes when this is dropped.
+    _store_listener: async_channel::Sender<()>,
     attempts: std::sync::atomic::AtomicU64,
 }
 
-/// How a site is built.
+/// Options of a site.
 #[derive(Clone, Copy, Debug)]
-struct SiteRules {
-    wired: bool,
+struct SiteOptions {
+    proxies: bool,
     switches: Switches,
-    hold: Duration,
+    long_poll: Duration,
 }
 
-impl Default for SiteRules {
+impl Default for SiteOptions {
     fn default() -> Self {
         Self {
-            wired: false,
+            proxies: false,
             switches: Switches::default(),
-            hold: store_watch::HOLD,
+            long_poll: store_watch::HOLD,
         }
     }
 }
 
-impl SiteRules {
-    fn wired() -> Self {
+impl SiteOptions {
+    fn with_proxies() -> Self {
         Self {
-            wired: true,
+            proxies: true,
             ..Self::default()
         }
     }
 }
 
-/// An answer, read whole.
+/// An answer with its body, read to the end.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// Body, as far as it came.
+    /// Body, up to the point where the connection broke if it did.
     pub body: Bytes,
-    /// Whether it came to its end.
+    /// Whether the body was received completely.
     pub whole: bool,
 }
 
@@ -141,13 +142,13 @@
     })
 }
 
-/// Returns the routing document of the tests, in a version.
+/// Returns the routing document of the tests with this version number.
 pub fn routing(version: u64) -> Value {
-    let mut kept = route("stream", "streaming", "engine");
-    kept["PathPrefix"] = json!("/stream/kept/");
-    kept["Retained"] = json!(true);
-    kept["RetentionS"] = json!(60.0);
-    kept["MaxAttempts"] = json!(1);
+    let mut retained = route("stream", "streaming", "engine");
+    retained["PathPrefix"] = json!("/stream/kept/");
+    retained["Retained"] = json!(true);
+    retained["RetentionS"] = json!(60.0);
+    retained["MaxAttempts"] = json!(1);
     let mut resumable = route("resumable", "streaming", "engine");
     resumable["PathPrefix"] = json!("/stream/resumable/");
     resumable["Resumable"] = json!(true);
@@ -155,7 +156,7 @@
     json!({
         "Version": version,
         "Routes": [
-            kept, resumable,
+            retained, resumable,
             route("read", "idempotent", "plain"),
             route("write", "non_idempotent", "plain"),
         ],
@@ -168,10 +169,11 @@
     })
 }
 
-/// Names of the workspaces of [`keyed_routing`], each with its key.
+/// Names and keys of the workspaces in [`keyed_routing`].
 pub const WORKSPACES: [(&str, &str); 2] = [("red", "red1key4x8w1z5p"), ("blue", "blue1key6t0v3b7")];
 
-/// Returns the routing document of the tests with workspaces, in a version.
+/// Returns the routing document of the tests with workspaces and this version
+/// number.
 pub fn keyed_routing(version: u64) -> Value {
     let mut document = routing(version);
     let workspaces = WORKSPACES.map(|(name, key)| json!({"Name": name, "ApiKeys": [key]}));
@@ -180,42 +182,42 @@
 }
 
 impl PlatformSite {
-    /// Starts a site, and waits until all gateways serve.
+    /// Starts a site, and waits until all gateways are ready.
     ///
     /// # Panics
     ///
-    /// Panics if it does not serve in time.
+    /// Panics if they are not ready in time.
     pub async fn start(gateways: usize, keepers: usize, faults: usize) -> Self {
-        Self::begin(gateways, keepers, faults, SiteRules::default()).await
+        Self::start_with(gateways, keepers, faults, SiteOptions::default()).await
     }
 
-    /// Starts a site whose gateways make these decisions, and waits until all of
-    /// them serve.
+    /// Starts a site whose gateways have these switches, and waits until all
+    /// gateways are ready.
     ///
     /// # Panics
     ///
-    /// Panics if it does not serve in time.
+    /// Panics if they are not ready in time.
     pub async fn start_switched(
         gateways: usize,
         keepers: usize,
         faults: usize,
         switches: Switches,
     ) -> Self {
-        let rules = SiteRules {
+        let options = SiteOptions {
             switches,
-            ..SiteRules::default()
+            ..SiteOptions::default()
         };
-        Self::begin(gateways, keepers, faults, rules).await
+        Self::start_with(gateways, keepers, faults, options).await
     }
 
-    /// Starts a site whose processes reach each other through wires, and waits
-    /// until all gateways serve.
+    /// Starts a site whose processes connect through proxies, and waits until all
+    /// gateways are ready.
     ///
     /// # Panics
     ///
-    /// Panics if it does not serve in time.
+    /// Panics if they are not ready in time.
     pub async fn start_wired(gateways: usize, keepers: usize, faults: usize) -> Self {
-        Self::begin(gateways, keepers, faults, SiteRules::wired()).await
+        Self::start_with(gateways, keepers, faults, SiteOptions::with_proxies()).await
     }
 
     /// Starts a site as [`Self::start_wired`] does, whose gateways have these
@@ -223,37 +225,42 @@
     ///
     /// # Panics
     ///
-    /// Panics if it does not serve in time.
+    /// Panics if they are not ready in time.
     pub async fn start_wired_switched(
         gateways: usize,
         keepers: usize,
         faults: usize,
         switches: Switches,
     ) -> Self {
-        let rules = SiteRules {
+        let options = SiteOptions {
             switches,
-            ..SiteRules::wired()
+            ..SiteOptions::with_proxies()
         };
-        Self::begin(gateways, keepers, faults, rules).await
+        Self::start_with(gateways, keepers, faults, options).await
     }
 
-    /// Starts a site as [`Self::start_wired`] does, whose watches of the store
-    /// that fall silent are not found by time within a test.
+    /// Starts a site as [`Self::start_wired`] does, with the longest time for
+    /// watches of the store, so that a silent watch does not time out within a test.
     ///
     /// # Panics
     ///
-    /// Panics if it does not serve in time.
+    /// Panics if they are not ready in time.
     pub async fn start_wired_patient(gateways: usize, keepers: usize, faults: usize) -> Self {
-        let rules = SiteRules {
-            hold: store_watch::MOST_HOLD,
-            ..SiteRules::wired()
+        let options = SiteOptions {
+            long_poll: store_watch::MOST_HOLD,
+            ..SiteOptions::with_proxies()
         };
-        Self::begin(gateways, keepers, faults, rules).await
+        Self::start_with(gateways, keepers, faults, options).await
     }
 
-    async fn begin(gateways: usize, keepers: usize, faults: usize, rules: SiteRules) -> Self {
+    async fn start_with(
+        gateways: usize,
+        keepers: usize,
+        faults: usize,
+        options: SiteOptions,
+    ) -> Self {
         let store = StandInPlatform::default();
-        let (at, stop) = listen(any_port(), store.handler()).await;
+        let (store_address, stop) = listen(any_port(), store.handler()).await;
         let mut site = Self {
             store,
             engines: Vec::new(),
@@ -263,30 +270,30 @@
             keepers: Vec::new(),
             folder: Folder::default(),
             wires: Wires::default(),
-            wired: rules.wired,
-            switches: rules.switches,
-            hold: rules.hold,
-            _store_open: stop,
+            has_proxies: options.proxies,
+            switches: options.switches,
+            long_poll: options.long_poll,
+            _store_listener: stop,
             attempts: 0.into(),
         };
         site.store.put("op/config", &routing(1));
-        let mut at = at;
-        if rules.wired {
-            let wire = Wire::to(at).await;
-            at = wire.address();
-            site.wires.store.push(wire);
+        let mut store_address = store_address;
+        if options.proxies {
+            let proxy = Wire::to(store_address).await;
+            store_address = proxy.address();
+            site.wires.store.push(proxy);
         }
         for _ in 0..2 {
             site.add_engine().await;
             site.add_plain().await;
         }
-        site.add_keepers(at, keepers, faults).await;
-        site.add_gateways(at, gateways, faults);
+        site.add_keepers(store_address, keepers, faults).await;
+        site.add_gateways(store_address, gateways, faults);
         site.wait_ready().await;
         site
     }
 
-    fn common(&self, node: &str, store: SocketAddr, faults: usize) -> NodeSettings {
+    fn node_settings(&self, node: &str, store: SocketAddr, faults: usize) -> NodeSettings {
         NodeSettings {
             node: node.to_owned(),
             centre: "here".to_owned(),
@@ -295,7 +302,7 @@
             metrics: free(),
             key: KEY.to_owned(),
             store,
-            watch_ms: self.hold.as_millis() as u64,
+            watch_ms: self.long_poll.as_millis() as u64,
             seeds: self
                 .keepers
                 .iter()
@@ -313,14 +320,14 @@
             let node = format!("keeper-{number}");
             let folder = self.folder.join(&node);
             std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
-            let mut common = self.common(&node, store, faults);
-            if self.wired {
-                let wire = Wire::to(common.peers).await;
-                common.advertised = Some(wire.address());
-                self.wires.keepers.push(wire);
-                let watch = Wire::to(store).await;
-                common.store = watch.address();
-                self.wires.watches.push(watch);
+            let mut common = self.node_settings(&node, store, faults);
+            if self.has_proxies {
+                let proxy = Wire::to(common.peers).await;
+                common.advertised = Some(proxy.address());
+                self.wires.keepers.push(proxy);
+                let store_proxy = Wire::to(store).await;
+                common.store = store_proxy.address();
+                self.wires.watches.push(store_proxy);
             }
             self.keepers.push(KeeperSettings {
                 common,
@@ -330,7 +337,7 @@
         }
         for number in 0..count {
             self.start_keeper(number);
-            // Only the first start of all is the first.
+            // `first` holds for the very first start only.
             self.keepers[number].first = false;
         }
     }
@@ -338,7 +345,7 @@
     fn add_gateways(&mut self, store: SocketAddr, count: usize, faults: usize) {
         for number in 0..count {
             let settings = GatewaySettings {
-                common: self.common(&format!("gateway-{number}"), store, faults),
+                common: self.node_settings(&format!("gateway-{number}"), store, faults),
                 callers: free(),
                 ready: free(),
                 connections: 1_000,
@@ -351,7 +358,7 @@
         }
     }
 
-    /// Starts a keeper, anew if it ran before.
+    /// Starts or restarts a keeper.
     pub fn start_keeper(&mut self, number: usize) {
         let settings = &self.keepers[number];
         let node = settings.common.node.clone();
@@ -359,7 +366,7 @@
         self.processes.insert(node, process);
     }
 
-    /// Starts a gateway, anew if it ran before.
+    /// Starts or restarts a gateway.
     pub fn start_gateway(&mut self, number: usize) {
         let settings = &self.gateways[number];
         let node = settings.common.node.clone();
@@ -367,12 +374,12 @@
         self.processes.insert(node, process);
     }
 
-    /// Starts a gateway anew with other settings, and waits until it takes
-    /// callers.
+    /// Restarts a gateway with changed settings, and waits until all gateways are
+    /// ready.
     ///
     /// # Panics
     ///
-    /// Panics if it does not in time.
+    /// Panics if they are not ready in time.
     pub async fn change_gateway(
         &mut self,
         number: usize,
@@ -390,45 +397,49 @@
         &self.gateways[number]
     }
 
-    /// Returns a process by its name.
+    /// Returns a process by its node name.
     ///
     /// # Panics
     ///
-    /// Panics if there is none.
+    /// Panics if the site does not have this process.
     pub fn process(&mut self, node: &str) -> &mut Process {
-        self.processes.get_mut(node).expect("a process of the site")
+        self.processes
+            .get_mut(node)
+            .expect("the site has this process")
     }
 
-    /// Hands a process over to the test.
+    /// Removes a process from the site, and returns it.
     ///
     /// # Panics
     ///
-    /// Panics if there is none.
+    /// Panics if the site does not have this process.
     pub fn take_process(&mut self, node: &str) -> Process {
-        self.processes.remove(node).expect("a process of the site")
+        self.processes
+            .remove(node)
+            .expect("the site has this process")
     }
 
-    /// Returns the names of the processes that have ended.
+    /// Returns the node names of the processes that have exited.
     pub fn ended(&mut self) -> Vec<String> {
-        let ended = self
+        let exited = self
             .processes
             .iter_mut()
             .filter_map(|(node, process)| process.has_ended().then(|| node.clone()));
-        ended.collect()
+        exited.collect()
     }
 
-    /// Puts bytes at the end of a keeper's last file, as a write that was torn
-    /// by a loss of power.
+    /// Appends bytes to a keeper's newest file, like a write that was torn by a
+    /// loss of power.
     ///
     /// # Panics
     ///
     /// Panics if the folder cannot be written.
     pub fn tear(&self, number: usize, bytes: &[u8]) {
-        let folder = std::fs::read_dir(&self.keepers[number].data.folder);
-        let files = folder.expect("the folder is there").flatten();
+        let entries = std::fs::read_dir(&self.keepers[number].data.folder);
+        let files = entries.expect("the folder exists").flatten();
         let files = files.map(|entry| entry.path());
         let last = files
-            .filter(|path| path.extension().is_some_and(|end| end == "turns"))
+            .filter(|path| path.extension().is_some_and(|suffix| suffix == "turns"))
             .max();
         if let Some(last) = last {
             let file = std::fs::OpenOptions::new().append(true).open(last);
@@ -437,19 +448,19 @@
         }
     }
 
-    /// Returns the address where a gateway takes callers.
+    /// Returns the address at which a gateway accepts callers.
     pub fn callers(&self, number: usize) -> String {
         self.gateways[number].callers.to_string()
     }
 
-    /// Empties the disk of a keeper that does not run.
+    /// Deletes the data of a keeper that is not running.
     ///
     /// # Panics
     ///
     /// Panics if the folder cannot be written.
     pub fn wipe(&mut self, number: usize) {
         let folder = &self.keepers[number].data.folder;
-        std::fs::remove_dir_all(folder).expect("the folder is there");
+        std::fs::remove_dir_all(folder).expect("the folder exists");
         std::fs::create_dir_all(folder).expect("the temporary folder can be written");
     }
 
@@ -472,17 +483,17 @@
 
     async fn register(&mut self, server: &StandInServer, service: &str, id: &str) {
         let mut address = server.start().await;
-        if self.wired {
-            let wire = Wire::to(address).await;
-            address = wire.address();
-            self.wires.servers.push(wire);
+        if self.has_proxies {
+            let proxy = Wire::to(address).await;
+            address = proxy.address();
+            self.wires.servers.push(proxy);
         }
         let entry = json!({"Service": service, "Address": address.to_string(), "Zone": "here",
                            "Version": "v1", "Slots": 8, "State": "ready", "ColdLeftMs": 0, "Seq": 1});
         self.store.put(&format!("servers/{id}"), &entry);
     }
 
-    /// Changes the state in a server's entry.
+    /// Changes the state in a server's entry in the store.
     ///
     /// # Panics
     ///
@@ -491,7 +502,7 @@
         self.change_entry(id, |entry| entry["State"] = json!(state));
     }
 
-    /// Changes a server's entry.
+    /// Changes a server's entry in the store.
     ///
     /// # Panics
     ///
@@ -503,42 +514,43 @@
         self.store.put(&key, &entry);
     }
 
-    /// Waits until all gateways take callers.
+    /// Waits until all gateways are ready.
     ///
     /// # Panics
     ///
-    /// Panics if that does not come about in time.
+    /// Panics if they are not ready in time.
     pub async fn wait_ready(&self) {
         let ready = async {
             for number in 0..self.gateways.len() {
                 while !self.is_ready(number).await {
-                    smol::Timer::after(LOOK).await;
+                    smol::Timer::after(POLL_INTERVAL).await;
                 }
             }
         };
-        within(START_WAIT, ready)
+        within(CONDITION_TIMEOUT, ready)
             .await
-            .expect("the site serves in time");
+            .expect("the gateways are ready in time");
     }
 
-    /// Waits until a gateway takes no callers; returns whether it does.
+    /// Waits until a gateway is not ready, then checks once more and returns whether
+    /// it is ready.
     ///
     /// # Panics
     ///
-    /// Panics if that does not come about in time.
+    /// Panics if it stays ready for too long.
     pub async fn wait_not_ready(&self, number: usize) -> bool {
         let wait = async {
             while self.is_ready(number).await {
-                smol::Timer::after(LOOK).await;
+                smol::Timer::after(POLL_INTERVAL).await;
             }
         };
-        within(START_WAIT, wait)
+        within(CONDITION_TIMEOUT, wait)
             .await
-            .expect("it stops taking callers in time");
+            .expect("the gateway ceases to be ready in time");
         self.is_ready(number).await
     }
 
-    /// Puts faulty settings in the place of those of a process.
+    /// Overwrites the settings file of a process with invalid settings.
     ///
     /// # Panics
     ///
@@ -548,8 +560,8 @@
         std::fs::write(file, "{}").expect("the temporary folder can be written");
     }
 
-    /// Returns the first line with `text` that a process has logged; lines begin
-    /// with their time.
+    /// Returns the first line in the log of a process that contains `text`. Lines
+    /// begin with their time.
     pub fn logged(&self, node: &str, text: &str) -> Option<String> {
         let log = std::fs::read_to_string(self.folder.join(format!("{node}.log")));
         let log = log.ok()?;
@@ -557,40 +569,40 @@
         line.map(str::to_owned)
     }
 
-    /// Waits until a process has logged a line with `text`.
+    /// Waits until a process has logged a line that contains `text`.
     ///
     /// # Panics
     ///
-    /// Panics if that does not come about in time.
+    /// Panics if no such line is logged in time.
     pub async fn wait_for_log(&self, node: &str, text: &str) {
         self.wait_until(|site| site.logged(node, text).is_some())
             .await;
     }
 
-    /// Returns whether a gateway takes callers.
+    /// Returns whether a gateway reports that it is ready for callers.
     pub async fn is_ready(&self, number: usize) -> bool {
         let address = self.gateways[number].ready.to_string();
         let answer = self.get(&address, "/api/readyz").await;
         answer.is_ok_and(|answer| answer.status == 200)
     }
 
-    /// Waits until `done` is true of what it is told.
+    /// Waits until `condition` returns true.
     ///
     /// # Panics
     ///
-    /// Panics if that does not come about in time.
-    pub async fn wait_until(&self, done: impl Fn(&Self) -> bool) {
+    /// Panics if it does not in time.
+    pub async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         let wait = async {
-            while !done(self) {
-                smol::Timer::after(LOOK).await;
+            while !condition(self) {
+                smol::Timer::after(POLL_INTERVAL).await;
             }
         };
-        within(START_WAIT, wait)
+        within(CONDITION_TIMEOUT, wait)
             .await
-            .expect("it comes about in time");
+            .expect("the condition holds in time");
     }
 
-    /// Returns an attempt id that was not used before.
+    /// Returns an unused attempt id.
     pub fn attempt(&self) -> String {
         let order = std::sync::atomic::Ordering::Relaxed;
         format!("{:016x}", self.attempts.fetch_add(1, order) + 1)
@@ -600,7 +612,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`HttpError`] if there is no answer.
+    /// Returns an [`HttpError`] if no answer is received.
     pub async fn send(
         &self,
         gateway: usize,
@@ -615,11 +627,11 @@
         self.send_raw(gateway, method, path, &all, body).await
     }
 
-    /// Sends a request with these headers only.
+    /// Sends a request with these headers and `host` only.
     ///
     /// # Errors
     ///
-    /// Returns an [`HttpError`] if there is no answer.
+    /// Returns an [`HttpError`] if no answer is received.
     ///
     /// # Panics
     ///
@@ -650,10 +662,10 @@
         address: &str,
         request: Request<Full<Bytes>>,
     ) -> Result<Answer, HttpError> {
-        let work = async {
+        let exchange = async {
             let mut sender = connect(address).await?;
-            let broken = |error: hyper::Error| HttpError::Broken(error.to_string());
-            let response = sender.send_request(request).await.map_err(broken)?;
+            let to_error = |error: hyper::Error| HttpError::Broken(error.to_string());
+            let response = sender.send_request(request).await.map_err(to_error)?;
             let (head, mut body) = response.into_parts();
             let mut bytes = Vec::new();
             let mut whole = true;
@@ -673,41 +685,46 @@
                 whole,
             })
         };
-        within(ANSWER_WAIT, work)
+        within(ANSWER_TIMEOUT, exchange)
             .await
             .unwrap_or(Err(HttpError::Late))
     }
 
-    /// Sends bytes to a gateway, and returns what comes back first.
+    /// Sends bytes to a gateway, and returns the first bytes that it sends back.
     ///
     /// # Panics
     ///
-    /// Panics if there is no connection or nothing comes.
+    /// Panics if the connection fails or nothing is received in time.
     pub async fn send_bytes(&self, gateway: usize, bytes: &str) -> String {
         let stream = TcpStream::connect(self.gateways[gateway].callers).await;
         let mut stream = stream.expect("the gateway listens");
-        stream.write_all(bytes.as_bytes()).await.expect("it reads");
+        stream
+            .write_all(bytes.as_bytes())
+            .await
+            .expect("the gateway reads");
         let mut answer = vec![0; 1_024];
-        let read = within(ANSWER_WAIT, stream.read(&mut answer)).await;
-        let size = read.expect("it answers in time").expect("it answers");
+        let read = within(ANSWER_TIMEOUT, stream.read(&mut answer)).await;
+        let size = read
+            .expect("the gateway answers in time")
+            .expect("the connection can be read");
         String::from_utf8_lossy(&answer[..size]).into_owned()
     }
 
-    /// Returns whether a process shows this value of a metric.
-    async fn shows(&self, metrics: SocketAddr, name: &str, value: u64) -> bool {
+    /// Returns whether a process reports this value of a metric.
+    async fn has_metric(&self, metrics: SocketAddr, name: &str, value: u64) -> bool {
         let line = format!("limpetferry_{name} {value}");
         let answer = self.get(&metrics.to_string(), "/metrics").await;
-        answer.is_ok_and(|answer| answer.text().lines().any(|shown| shown == line))
+        answer.is_ok_and(|answer| answer.text().lines().any(|reported| reported == line))
     }
 
     async fn get(&self, address: &str, path: &str) -> Result<Answer, HttpError> {
         let request = Request::get(path).header("host", address);
         let request = request.body(Full::default());
-        let request = request.expect("an address and a path are valid");
+        let request = request.expect("the address and the path are valid");
         self.exchange(address, request).await
     }
 
-    /// Returns the files of the site, settings, logs and disks, that hold a text.
+    /// Returns those files of the site (settings, logs and data) that contain a text.
     ///
     /// # Panics
     ///
@@ -717,14 +734,14 @@
         let mut found = Vec::new();
         while let Some(folder) = folders.pop() {
             let entries = std::fs::read_dir(folder).expect("the folder can be read");
-            for path in entries.map(|entry| entry.expect("it has entries").path()) {
+            for path in entries.map(|entry| entry.expect("the entry can be read").path()) {
                 if path.is_dir() {
                     folders.push(path);
                     continue;
                 }
                 let bytes = std::fs::read(&path).expect("the file can be read");
-                let mut places = bytes.windows(text.len());
-                if places.any(|place| place == text.as_bytes()) {
+                let mut windows = bytes.windows(text.len());
+                if windows.any(|window| window == text.as_bytes()) {
                     found.push(path);
                 }
             }
@@ -732,60 +749,61 @@
         found
     }
 
-    /// Returns what a gateway shows as its metrics.
+    /// Returns a gateway's metrics as text.
     ///
     /// # Panics
     ///
-    /// Panics if it shows none.
+    /// Panics if the gateway does not return them.
     pub async fn metrics(&self, gateway: usize) -> String {
         let metrics = self.gateways[gateway].common.metrics.to_string();
         let answer = self.get(&metrics, "/metrics").await;
-        answer.expect("it shows its metrics").text()
+        answer.expect("the gateway returns its metrics").text()
     }
 
-    /// Returns whether a keeper has all that was ever acknowledged.
+    /// Returns whether a keeper reports that it holds all acknowledged data.
     pub async fn is_whole(&self, keeper: usize) -> bool {
         let metrics = self.keepers[keeper].common.metrics;
-        self.shows(metrics, "whole", 1).await
+        self.has_metric(metrics, "whole", 1).await
     }
 
-    /// Waits until a gateway's metric has a value.
+    /// Waits until a metric of a process has this value.
     ///
     /// # Panics
     ///
-    /// Panics if that does not come about in time.
-    async fn wait_for(&self, metrics: SocketAddr, name: &str, value: u64) {
+    /// Panics if it does not in time.
+    async fn wait_for_metric(&self, metrics: SocketAddr, name: &str, value: u64) {
         let wait = async {
-            while !self.shows(metrics, name, value).await {
-                smol::Timer::after(LOOK).await;
+            while !self.has_metric(metrics, name, value).await {
+                smol::Timer::after(POLL_INTERVAL).await;
             }
         };
-        within(START_WAIT, wait)
+        within(CONDITION_TIMEOUT, wait)
             .await
-            .expect("it comes about in time");
+            .expect("the condition holds in time");
     }
 
-    /// Waits until a gateway goes by a version of the routing.
+    /// Waits until a gateway uses this version of the routing document.
     pub async fn wait_for_routing(&self, gateway: usize, version: u64) {
         let metrics = self.gateways[gateway].common.metrics;
-        self.wait_for(metrics, "routing_version", version).await;
+        self.wait_for_metric(metrics, "routing_version", version)
+            .await;
     }
 
-    /// Waits until a gateway knows so many servers that take requests.
+    /// Waits until a gateway lists this number of servers as ready.
     pub async fn wait_for_servers(&self, gateway: usize, count: u64) {
         let metrics = self.gateways[gateway].common.metrics;
-        self.wait_for(metrics, "servers_ready", count).await;
+        self.wait_for_metric(metrics, "servers_ready", count).await;
     }
 
     /// Waits until a keeper watches the platform's store.
     pub async fn wait_for_watch(&self, keeper: usize) {
         let metrics = self.keepers[keeper].common.metrics;
-        self.wait_for(metrics, "store_watching", 1).await;
+        self.wait_for_metric(metrics, "store_watching", 1).await;
     }
 
-    /// Waits until a keeper has all that was ever acknowledged.
+    /// Waits until a keeper reports that it holds all acknowledged data.
     pub async fn wait_for_whole(&self, keeper: usize) {
         let metrics = self.keepers[keeper].common.metrics;
-        self.wait_for(metrics, "whole", 1).await;
+        self.wait_for_metric(metrics, "whole", 1).await;
     }
 }
--- a/testutils/src/platform_store.rs
+++ b/testutils/src/platform_store.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the store of the users' platform, as far as the system uses
-//! it, with the faults that their pages name.
+//! Fake of the key-value store of the users' platform: the calls that the system
+//! uses, with the faults that the platform specifies.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,21 +20,21 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Time between looks of a waiting watch.
-const LOOK: Duration = Duration::from_millis(5);
-/// Items on one page, few enough that tests meet a second one.
-const PAGE: usize = 10;
+/// Time between two checks of a call that waits.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Items per page; small, so that tests need more than one page.
+const PAGE_SIZE: usize = 10;
 
-/// Faults that a test switches on.
+/// Faults that a test can inject.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformFaults {
-    /// Status that all calls get instead of an answer.
+    /// If set, all calls are answered with this status and have no effect.
     pub refuse: Option<u16>,
-    /// Writes that take effect without an answer.
+    /// Number of further writes that take effect without an answer.
     pub lose_replies: u32,
-    /// Whether watches hear nothing.
+    /// Whether watches return no events before their wait is over.
     pub mute: bool,
-    /// Whether pages after the first one wait.
+    /// Whether pages after the first one are withheld.
     pub hold_pages: bool,
 }
 
@@ -42,11 +42,11 @@
 struct State {
     items: BTreeMap<String, (String, u64)>,
     history: Vec<Value>,
-    /// Revisions up to which the history was dropped.
-    dropped: u64,
+    /// Revision up to which the history was compacted.
+    compacted: u64,
     revision: u64,
-    /// Counts the cuts of all watches.
-    cuts: u64,
+    /// Number of times that all watches were ended.
+    watch_resets: u64,
     faults: PlatformFaults,
     calls: u64,
 }
@@ -76,20 +76,20 @@
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
-            .take(PAGE + 1)
+            .take(PAGE_SIZE + 1)
             .map(|(key, (value, revision))| json!({"Key": key, "Value": value, "Revision": revision}))
             .collect();
-        let more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let more = items.len() > PAGE_SIZE;
+        items.truncate(PAGE_SIZE);
         json!({"items": items, "HasMore": more, "StoreRevision": self.revision})
     }
 
-    fn swap(&mut self, body: &Value) -> (u16, Value) {
+    fn compare_and_swap(&mut self, body: &Value) -> (u16, Value) {
         let rows = |name: &str| body[name].as_array().cloned().unwrap_or_default();
         for row in rows("ExpectedRev") {
             let key = row["Key"].as_str().unwrap_or_default();
-            let have = self.items.get(key).map_or(0, |(_, revision)| *revision);
-            if row["Revision"].as_u64() != Some(have) {
+            let current = self.items.get(key).map_or(0, |(_, revision)| *revision);
+            if row["Revision"].as_u64() != Some(current) {
                 return (412, json!({"items": []}));
             }
         }
@@ -102,7 +102,7 @@
     }
 }
 
-/// The stand-in; clones share their state.
+/// The fake store; clones share their state.
 #[derive(Clone, Default)]
 pub struct StandInPlatform {
     state: Arc<Mutex<State>>,
@@ -113,7 +113,7 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Switches faults on or off.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.lock().faults = faults;
     }
@@ -124,7 +124,7 @@
         self.lock().put(key, &value);
     }
 
-    /// Removes an item, and returns the revision of the store then.
+    /// Removes an item, and returns the revision of the store after that.
     pub fn remove(&self, key: &str) -> u64 {
         let mut state = self.lock();
         state.remove(key);
@@ -135,7 +135,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the value is no JSON in base64.
+    /// Panics if the value is not JSON in base64.
     pub fn get(&self, key: &str) -> Option<Value> {
         let state = self.lock();
         let (value, _) = state.items.get(key)?;
@@ -143,12 +143,11 @@
         Some(serde_json::from_slice(&bytes).expect("values are JSON"))
     }
 
-    /// Returns all that was ever written under a key and is not dropped, oldest
-    /// first.
+    /// Returns all values of a key in the uncompacted history, oldest first.
     ///
     /// # Panics
     ///
-    /// Panics if a value is no JSON in base64.
+    /// Panics if a value is not JSON in base64.
     pub fn written(&self, key: &str) -> Vec<Value> {
         let state = self.lock();
         let events = state.history.iter().filter(|event| event["Key"] == key);
@@ -161,12 +160,12 @@
             .collect()
     }
 
-    /// Drops all history, and cuts the watches.
+    /// Compacts the whole history, and ends all watches.
     pub fn compact(&self) {
         let mut state = self.lock();
         state.history.clear();
-        state.dropped = state.revision;
-        state.cuts += 1;
+        state.compacted = state.revision;
+        state.watch_resets += 1;
     }
 
     /// Returns the number of calls so far.
@@ -174,12 +173,12 @@
         self.lock().calls
     }
 
-    /// Returns what answers the listener.
+    /// Returns the request handler.
     pub fn handler(&self) -> Handler {
-        let this = self.clone();
+        let store = self.clone();
         Arc::new(move |request| {
-            let this = this.clone();
-            Box::pin(async move { this.answer(request).await })
+            let store = store.clone();
+            Box::pin(async move { store.answer(request).await })
         })
     }
 
@@ -194,7 +193,7 @@
         }
         let query = request.uri().query().unwrap_or_default().to_owned();
         let path = request.uri().path().to_owned();
-        let field = |name: &str| {
+        let parameter = |name: &str| {
             let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             let mut found = pairs
                 .filter(|(key, _)| *key == name)
@@ -203,32 +202,32 @@
         };
         match path.as_str() {
             "/api/kv-range" => {
-                let after = field("after");
+                let after = parameter("after");
                 while !after.is_empty() && self.lock().faults.hold_pages {
-                    smol::Timer::after(LOOK).await;
+                    smol::Timer::after(POLL_INTERVAL).await;
                 }
-                let page = self.lock().list(&field("PathPrefix"), &after);
+                let page = self.lock().list(&parameter("PathPrefix"), &after);
                 json_answer(200, &page)
             }
             "/api/kv-watch" => {
-                let after = field("after").parse().unwrap_or(0);
-                let wait = field("WaitMs").parse().unwrap_or(0);
-                self.watch(&field("PathPrefix"), after, wait).await
+                let after = parameter("after").parse().unwrap_or(0);
+                let wait_ms = parameter("WaitMs").parse().unwrap_or(0);
+                self.watch(&parameter("PathPrefix"), after, wait_ms).await
             }
             "/api/kv-txn" => {
                 let body = request.into_body().collect().await;
                 let body = body.map(|body| body.to_bytes()).unwrap_or_default();
                 let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
-                self.swap(&body).await
+                self.compare_and_swap(&body).await
             }
             _ => json_answer(404, &json!({})),
         }
     }
 
-    async fn swap(&self, body: &Value) -> Response<Body> {
+    async fn compare_and_swap(&self, body: &Value) -> Response<Body> {
         let (status, answer, lost) = {
             let mut state = self.lock();
-            let (status, answer) = state.swap(body);
+            let (status, answer) = state.compare_and_swap(body);
             let lost = state.faults.lose_replies > 0;
             state.faults.lose_replies = state.faults.lose_replies.saturating_sub(1);
             (status, answer, lost)
@@ -239,32 +238,32 @@
         json_answer(status, &answer)
     }
 
-    async fn watch(&self, prefix: &str, after: u64, wait: u64) -> Response<Body> {
+    async fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> Response<Body> {
         let start = Instant::now();
-        let cuts = self.lock().cuts;
+        let watch_resets = self.lock().watch_resets;
         loop {
             {
                 let state = self.lock();
-                if state.cuts != cuts {
+                if state.watch_resets != watch_resets {
                     return json_answer(503, &json!({}));
                 }
-                if after < state.dropped {
+                if after < state.compacted {
                     return json_answer(410, &json!({}));
                 }
-                let news = |event: &&Value| {
+                let is_new = |event: &&Value| {
                     event["Revision"].as_u64() > Some(after)
                         && event["Key"]
                             .as_str()
                             .is_some_and(|key| key.starts_with(prefix))
                 };
-                let events: Vec<&Value> = state.history.iter().filter(news).collect();
-                let over = start.elapsed() >= Duration::from_millis(wait);
-                if over || (!events.is_empty() && !state.faults.mute) {
+                let events: Vec<&Value> = state.history.iter().filter(is_new).collect();
+                let expired = start.elapsed() >= Duration::from_millis(wait_ms);
+                if expired || (!events.is_empty() && !state.faults.mute) {
                     let answer = json!({"events": events, "StoreRevision": state.revision});
                     return json_answer(200, &answer);
                 }
             }
-            smol::Timer::after(LOOK).await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
     }
 }
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -199,7 +199,7 @@
         match self {
             Self::Child(child) => child,
             Self::Task { .. } => {
-                panic!("this needs a child process; start the site with Mode::Processes")
+                panic!("only for child processes; start with Mode::Processes")
             }
         }
     }
