--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -198,9 +198,7 @@
     fn child(&mut self) -> &mut Child {
         match self {
             Self::Child(child) => child,
-            Self::Task { .. } => {
-                panic!("only for child processes; start with Mode::Processes")
-            }
+            Self::Task { .. } => panic!("needs a child process: use Mode::Processes"),
         }
     }
 }
