--- a/ctl/src/api.rs
+++ b/ctl/src/api.rs
@@ -1,4 +1,4 @@
-//! The operators' API of an entry, as the commands use it.
+//! Client for the operators' API of an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,22 +11,22 @@
 use limpetferry_net::http::Client;
 use serde_json::Value;
 
-/// Wait for an answer.
-const WAIT: Duration = Duration::from_secs(30);
+/// Timeout of a request to the entry.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Exit codes of the command, as docs/operators.md lists them.
+/// Exit codes of the command; docs/operators.md lists them.
 pub mod exit {
     /// The request was refused; nothing changed.
     pub const REFUSED: u8 = 2;
-    /// The entry or the key-value service does not answer, or the outcome is
-    /// not known; the same request may be sent again.
+    /// The entry or the key-value service did not respond, or the outcome is
+    /// unknown; the same request may be retried.
     pub const UNAVAILABLE: u8 = 3;
 }
 
-/// Where to send requests, and in whose name.
+/// The entry to send requests to, the operator's key, and the output format.
 #[derive(Clone, Debug, Args)]
 pub struct Target {
-    /// Operators' address of an entry.
+    /// Address of an entry's operators' API.
     #[arg(
         long,
         global = true,
@@ -48,40 +48,47 @@
     pub json: bool,
 }
 
-/// An answer that is no success.
+/// A failed command.
 #[derive(Debug)]
 pub struct Failure {
     /// Exit code.
     pub code: u8,
-    /// What happened, and a hint.
+    /// Description of the error, with a hint.
     pub message: String,
 }
 
 impl Target {
-    /// Sends a request and returns the answer's JSON.
+    /// Sends a request and returns the JSON of the response.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] if the entry refuses or does not answer.
+    /// Returns a [`Failure`] if the entry refuses the request or does not
+    /// respond.
     pub fn send(&self, method: &str, path: &str, body: Option<&Value>) -> Result<Value, Failure> {
         let sent = smol::block_on(self.exchange(method, path, body));
         let (status, body) = sent.map_err(|error| Failure {
             code: exit::UNAVAILABLE,
-            message: format!("Error: {error:#}\nHint: check --address and that the entry runs"),
+            message: format!(
+                "Error: {error:#}\nHint: check --address and that the entry is running"
+            ),
         })?;
         let value: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         if status == 200 {
             return Ok(value);
         }
         let error = &value["error"];
-        let word = |field: &str| error[field].as_str().unwrap_or("unknown").to_owned();
+        let error_text = |field: &str| error[field].as_str().unwrap_or("unknown").to_owned();
         Err(Failure {
             code: if status >= 500 {
                 exit::UNAVAILABLE
             } else {
                 exit::REFUSED
             },
-            message: format!("Error: {}\nHint: {}", word("message"), word("remedy")),
+            message: format!(
+                "Error: {}\nHint: {}",
+                error_text("message"),
+                error_text("remedy")
+            ),
         })
     }
 
@@ -99,11 +106,14 @@
             .header("host", &address)
             .header("authorization", format!("Bearer {}", self.key))
             .body(Full::new(Bytes::from(text)))
-            .wrap_err("the key holds characters that no header may hold")?;
-        Ok(Client::default().exchange(&address, request, WAIT).await?)
+            .wrap_err("the key contains characters that are not allowed in a header")?;
+        Ok(Client::default()
+            .exchange(&address, request, TIMEOUT)
+            .await?)
     }
 
-    /// Prints an answer: as JSON if asked to, otherwise by `lines`.
+    /// Prints a response: as JSON with `--json`, otherwise the lines that
+    /// `lines` returns.
     pub fn print(&self, value: &Value, lines: impl FnOnce(&Value) -> Vec<String>) {
         if self.json {
             println!("{value}");
@@ -115,7 +125,7 @@
     }
 }
 
-/// Returns a field of a JSON object as plain text.
+/// Returns a field of a JSON object as text; strings without quotes.
 pub fn text(value: &Value, field: &str) -> String {
     match &value[field] {
         Value::String(text) => text.clone(),
--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -32,17 +32,19 @@
         /// File with the document; `-` for standard input.
         file: PathBuf,
     },
-    /// Applies a patch to the version that it names, whole or not at all.
+    /// Applies a patch to the given version of the document, completely or not
+    /// at all.
     Patch {
-        /// File with the change; `-` for standard input.
+        /// File with the patch; `-` for standard input.
         file: PathBuf,
-        /// Version that the patch changes.
+        /// Version of the document that the patch is based on.
         #[arg(long)]
         base: u64,
-        /// Id of the patch; the same id again gives the first result.
+        /// Id of the patch; a repeated request with the same id returns the
+        /// first result.
         #[arg(long)]
         id: String,
-        /// Reads the file as a JSON patch (RFC 6902), not as a merge patch
+        /// Reads the file as a JSON patch (RFC 6902) instead of a merge patch
         /// (RFC 7396).
         #[arg(long)]
         steps: bool,
@@ -59,7 +61,7 @@
     };
     read.map_err(|error| fail(format!("Error: cannot read {}: {error}", file.display())))?;
     serde_json::from_str(&content)
-        .map_err(|error| fail(format!("Error: {} is no JSON: {error}", file.display())))
+        .map_err(|error| fail(format!("Error: {} is not JSON: {error}", file.display())))
 }
 
 /// Runs `config`.
@@ -111,7 +113,7 @@
             });
             if !faults.is_empty() {
                 let message = format!(
-                    "Error: {} fault(s)\nHint: mend each path above",
+                    "Error: {} fault(s)\nHint: correct each path above",
                     faults.len()
                 );
                 return Err(Failure {
--- a/ctl/src/drain.rs
+++ b/ctl/src/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: keeps new work from a backend server.
+//! `drain`: starts and ends drains of backend servers.
 
 use clap::Args;
 
@@ -6,12 +6,13 @@
 use crate::api::Target;
 use crate::api::text;
 
-/// Keeps new work from a backend server, or lets it have work again.
+/// Drains a backend server: stops new work from being sent to it, or ends a
+/// drain.
 #[derive(Clone, Debug, Args)]
 pub struct DrainArgs {
     /// Name of the server's side process.
     server: String,
-    /// Ends the drain.
+    /// Ends the drain, so that the server receives new work.
     #[arg(long)]
     end: bool,
 }
--- a/ctl/src/explain.rs
+++ b/ctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! `limpetferry-ctl explain`: from an id to its cause.
+//! `explain`: finds what happened to a request or program in log files.
 
 use std::fs;
 use std::path::PathBuf;
@@ -9,32 +9,31 @@
 
 use crate::api::Failure;
 
-/// Exit code if nothing is known of the id.
-const UNKNOWN: u8 = 2;
+/// Exit code if no log line contains the id.
+const ID_NOT_FOUND: u8 = 2;
 /// Exit code if a file cannot be read.
 const UNREADABLE: u8 = 1;
 
-/// Tells from collected log files what became of a request or a program, and
-/// why.
+/// Shows from log files what happened to a request or a program, and why.
 #[derive(Args)]
 pub struct ExplainArgs {
     /// Id of the attempt or of the program.
     id: String,
-    /// Files with the log lines of gateways and keepers.
+    /// Log files of gateways and keepers.
     #[arg(required = true)]
     logs: Vec<PathBuf>,
 }
 
-/// Prints the lines about an id, and what caused what went wrong.
+/// Prints the log lines about an id and the causes of any failure.
 ///
 /// # Errors
 ///
-/// Returns a [`Failure`] if a file cannot be read or no line names the id.
+/// Returns a [`Failure`] if a file cannot be read or no line contains the id.
 pub fn cmd_explain(args: &ExplainArgs) -> Result<(), Failure> {
     let mut lines = Vec::new();
     for path in &args.logs {
         let bytes = fs::read(path).map_err(|error| Failure {
-            message: format!("{}: {error}; name files that can be read", path.display()),
+            message: format!("{}: {error}; pass readable files", path.display()),
             code: UNREADABLE,
         })?;
         let text = String::from_utf8_lossy(&bytes);
@@ -44,11 +43,11 @@
     if found.lines.is_empty() {
         return Err(Failure {
             message: format!(
-                "none of {} lines names {}; give the logs of all gateways of that time",
+                "none of {} log lines contains {}; pass the logs of all gateways from that time",
                 lines.len(),
                 args.id
             ),
-            code: UNKNOWN,
+            code: ID_NOT_FOUND,
         });
     }
     found.lines.iter().for_each(|line| println!("{line}"));
@@ -57,7 +56,7 @@
         println!("cause: {cause}");
     }
     if found.causes.is_empty() {
-        println!("nothing went wrong that a line tells of");
+        println!("no failure found in these lines");
     }
     Ok(())
 }
--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The operators' command-line tool.
 
 use std::process::ExitCode;
 
@@ -15,10 +15,10 @@
 
 use api::Target;
 
-/// Drives a limpetferry site: its document, its servers and its programs.
+/// Operates a limpetferry site: its document, its servers and its programs.
 ///
-/// Exits with 0 if it is done, 1 if the command line is wrong, 2 if it was
-/// refused and nothing changed, and 3 if no answer came.
+/// Exits with 0 on success, 1 if the command line is wrong, 2 if the request
+/// was refused and nothing changed, and 3 if no response arrived.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
@@ -31,16 +31,16 @@
 #[derive(Subcommand)]
 enum Command {
     Config(config::ConfigArgs),
-    /// Prints the state of an entry and of the processes that it knows.
+    /// Prints the state of an entry and of its peers.
     Status,
     /// Prints the programs that an entry owns.
     Programs,
     Drain(drain::DrainArgs),
     Settle(settle::SettleArgs),
     Explain(explain::ExplainArgs),
-    /// Prints completions for a shell.
+    /// Prints a completion script for a shell.
     Completions {
-        /// The shell.
+        /// Shell to complete in.
         shell: clap_complete::Shell,
     },
 }
@@ -54,7 +54,7 @@
         }
     };
     let target = &args.target;
-    let done = match &args.command {
+    let result = match &args.command {
         Command::Config(args) => config::cmd_config(target, args),
         Command::Status => status::cmd_status(target),
         Command::Programs => status::cmd_programs(target),
@@ -72,7 +72,7 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("{}", failure.message);
--- a/ctl/src/settle.rs
+++ b/ctl/src/settle.rs
@@ -1,4 +1,4 @@
-//! `settle`: says what became of a call whose outcome is unknown.
+//! `settle`: resolves a call whose outcome is unknown.
 
 use clap::Args;
 use clap::ValueEnum;
@@ -7,24 +7,24 @@
 use crate::api::Failure;
 use crate::api::Target;
 
-/// Says what became of a call whose outcome is unknown, after a look at the
-/// service.
+/// Resolves a call whose outcome is unknown. Check in the service first whether
+/// the call ran.
 #[derive(Clone, Debug, Args)]
 pub struct SettleArgs {
     /// The program's id.
     program: String,
     /// The call's idempotency key.
     key: String,
-    /// What the service shows.
+    /// Whether the call ran, as seen in the service.
     #[arg(value_enum)]
     found: Found,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Found {
-    /// It ran: its caller is told so, and it never runs again.
+    /// It ran: its caller receives this outcome, and it never runs again.
     Ran,
-    /// It did not run: its caller may send it again under the same key.
+    /// It did not run: its caller may send it again with the same key.
     NotRun,
 }
 
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `status` and `programs`: what an entry does.
+//! `status` and `programs`: print the state of an entry and its programs.
 
 use serde_json::Value;
 
@@ -39,10 +39,10 @@
             .iter()
             .map(|f| format!("{f}={}", text(value, f)))
             .collect();
-        let peer = [
+        let peer_fields = [
             "node", "role", "centre", "linked", "leaving", "running", "queued",
         ];
-        lines.extend(rows(value, "peers", &peer));
+        lines.extend(rows(value, "peers", &peer_fields));
         lines
     });
     Ok(())
--- a/demo/src/main.rs
+++ b/demo/src/main.rs
@@ -1,5 +1,5 @@
-//! A demonstration in one process: stand-ins on loopback, two entries, side
-//! processes, and a program run through them.
+//! A demonstration in one process: simulated backend servers on loopback, two
+//! entries, side processes, and an agent program that sends its calls to them.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// Length of the program's pause, in milliseconds.
+    /// Pause between two calls of the program, in milliseconds.
     #[arg(long, default_value_t = 1_500)]
     pause_ms: u64,
 }
@@ -27,7 +27,7 @@
     callers: [Caller; 2],
 }
 
-fn say(step: &str, got: &Got) {
+fn print_response(step: &str, got: &Got) {
     println!(
         "{step}\n    {} {}",
         got.status,
@@ -35,7 +35,7 @@
     );
 }
 
-fn question(text: &str) -> Value {
+fn chat_body(text: &str) -> Value {
     json!({"model": "cask-7b", "messages": [{"role": "user", "content": text}]})
 }
 
@@ -56,8 +56,8 @@
         let got = self.callers[entry]
             .send(method, path, headers, body)
             .await
-            .wrap_err("the entry is gone")?;
-        say(step, &got);
+            .wrap_err("cannot send the request to the entry")?;
+        print_response(step, &got);
         eyre::ensure!(
             got.status == 200,
             "the demonstration expects 200, got {}",
@@ -83,10 +83,10 @@
         ];
         self.send(
             0,
-            "asks a model",
+            "sends a chat request to a model",
             CHAT,
             &headers,
-            &question("Where is cask 12?"),
+            &chat_body("Where is cask 12?"),
         )
         .await?;
 
@@ -103,7 +103,7 @@
         .await?;
         self.send(
             1,
-            "sends it again through entry 2: the same answer",
+            "sends it again through entry 2 and gets the same answer",
             transfer,
             &keyed,
             &body,
@@ -121,7 +121,7 @@
         let child = self
             .send(
                 1,
-                "opens a sub-agent, on its parent's budget",
+                "opens a sub-agent that shares its parent's budget",
                 "/v1/programs",
                 &[],
                 &json!({"parent": program}),
@@ -130,10 +130,10 @@
         let child = child["id"].as_str().unwrap_or_default().to_owned();
         self.send(
             1,
-            "the sub-agent asks a model",
+            "the sub-agent sends a chat request to a model",
             CHAT,
             &[("limpetferry-program", &child)],
-            &question("Draft the paper."),
+            &chat_body("Draft the paper."),
         )
         .await?;
 
@@ -141,10 +141,10 @@
         smol::Timer::after(pause).await;
         self.send(
             1,
-            "goes on at entry 2, with new messages alone",
+            "continues at entry 2, sending only the new messages",
             CHAT,
             &headers,
-            &question("And cask 13?"),
+            &chat_body("And cask 13?"),
         )
         .await?;
         self.patch().await?;
@@ -167,7 +167,7 @@
             .operator(0)
             .send("POST", "/v1/config/patches", &[], &patch)
             .await?;
-        say("an operator patches version 1", &got);
+        print_response("an operator patches version 1", &got);
         let start = std::time::Instant::now();
         self.site.in_force_everywhere(2).await;
         println!(
@@ -180,7 +180,7 @@
             .operator(1)
             .send("POST", "/v1/config/patches", &[], &stale)
             .await?;
-        say("another patch of version 1 is refused", &got);
+        print_response("another patch of version 1 is refused", &got);
         Ok(())
     }
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway.
+//! The limpetferry gateway process.
 
 use std::path::PathBuf;
 
@@ -11,10 +11,10 @@
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// File with the settings, in JSON.
+    /// JSON file with the settings.
     #[arg(long, env = SETTINGS_VARIABLE)]
     settings: PathBuf,
-    /// Only checks the settings; exits with 1 if they have faults.
+    /// Only checks the settings; exits with 1 if they are invalid.
     #[arg(long)]
     check: bool,
 }
--- a/gateway/tests/check.rs
+++ b/gateway/tests/check.rs
@@ -1,4 +1,4 @@
-//! The program checks its settings before it does anything.
+//! The process validates its settings with `--check`.
 
 use limpetferry_testutils::check::assert_common_faults;
 use limpetferry_testutils::check::assert_faultless;
@@ -6,7 +6,7 @@
 use limpetferry_testutils::check::example;
 use serde_json::Value;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_limpetferry-gateway");
+const BINARY: &str = env!("CARGO_BIN_EXE_limpetferry-gateway");
 
 fn settings() -> Value {
     example("platform/gateway.json")
@@ -14,15 +14,15 @@
 
 #[test]
 fn the_example_has_no_faults() {
-    assert_faultless(PROGRAM, &settings());
+    assert_faultless(BINARY, &settings());
 }
 
 #[test]
 fn every_fault_is_listed_with_its_remedy() {
-    assert_common_faults(PROGRAM, settings());
+    assert_common_faults(BINARY, settings());
 }
 
 #[test]
-fn unknown_fields_are_refused() {
-    assert_unknown_refused(PROGRAM, settings());
+fn unknown_fields_are_rejected() {
+    assert_unknown_refused(BINARY, settings());
 }
--- a/gen/src/capacity.rs
+++ b/gen/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Works out `docs/CAPACITY.md` from the table of slopes.
+//! Computes `docs/CAPACITY.md` from the inputs and rows in `gen/capacity.json`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -6,7 +6,7 @@
 use eyre::OptionExt as _;
 use serde::Deserialize;
 
-/// One slope or size that the page rests on.
+/// An input of the calculation: a slope or a size.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Input {
@@ -27,8 +27,8 @@
     Assumed,
 }
 
-/// A factor of a row: a number, or the name of an input, which a slash before
-/// it makes a divisor.
+/// A factor of a row: a number or the name of an input. A leading slash makes
+/// the input a divisor.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Term {
@@ -46,7 +46,7 @@
     by: String,
 }
 
-/// The table of slopes, and the rows that follow from it.
+/// The inputs, and the rows that are computed from them.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
@@ -55,11 +55,11 @@
 }
 
 impl Capacity {
-    /// Returns the page's text, with `prose` before the tables.
+    /// Returns the text of the page: `prose`, then the tables.
     ///
     /// # Errors
     ///
-    /// Returns an error if a row names an input that is not there.
+    /// Returns an error if a row names an input that does not exist.
     pub fn page(&self, prose: &str) -> eyre::Result<String> {
         let values: BTreeMap<&str, f64> = self
             .inputs
@@ -103,7 +103,7 @@
                 let divisor = name.strip_prefix('/');
                 let value = values
                     .get(divisor.unwrap_or(name))
-                    .ok_or_eyre(format!("{}: no input {name}", row.what))?;
+                    .ok_or_eyre(format!("{}: unknown input {name}", row.what))?;
                 product = if divisor.is_some() {
                     product / value
                 } else {
@@ -115,11 +115,12 @@
     Ok(product)
 }
 
-/// Returns a figure with three digits that count.
+/// Formats a figure with as many decimals as three significant digits need, at
+/// most six.
 fn rounded(figure: f64) -> String {
     if figure == 0.0 {
         return "0".into();
     }
-    let places = (2 - figure.abs().log10().floor() as i32).clamp(0, 6);
-    format!("{figure:.*}", places as usize)
+    let decimals = (2 - figure.abs().log10().floor() as i32).clamp(0, 6);
+    format!("{figure:.*}", decimals as usize)
 }
--- a/gen/src/main.rs
+++ b/gen/src/main.rs
@@ -1,7 +1,7 @@
 //! Generates `lib/src/code.rs` and `docs/errors.md` from `gen/errors.json`, and
 //! `docs/CAPACITY.md` from `gen/capacity.json` and `gen/capacity.md`.
 //!
-//! The output is committed, so that the build does not need this program.
+//! The output is committed, so that builds do not have to run this generator.
 
 mod capacity;
 
@@ -15,13 +15,13 @@
 use eyre::WrapErr as _;
 use serde::Deserialize;
 
-/// Generates the error codes and the page on capacity from their tables.
+/// Generates the error codes and the capacity page from their tables.
 #[derive(Parser)]
 struct Args {
-    /// Root of the checkout.
+    /// Root of the repository.
     #[arg(long, default_value = ".")]
     root: PathBuf,
-    /// Only compares; exits with 1 if a committed file is out of date.
+    /// Writes nothing; exits with 1 if a committed file is out of date.
     #[arg(long)]
     check: bool,
 }
@@ -50,7 +50,7 @@
         .collect()
 }
 
-fn arms(rows: &[Row], value: impl Fn(&Row) -> String) -> String {
+fn match_arms(rows: &[Row], value: impl Fn(&Row) -> String) -> String {
     let mut text = String::new();
     for row in rows {
         let _ = writeln!(
@@ -95,37 +95,37 @@
         "Returns the code as callers see it.",
         "as_str",
         "&'static str",
-        &arms(rows, |r| format!("{:?}", r.code)),
+        &match_arms(rows, |r| format!("{:?}", r.code)),
     ));
     text.push_str(&getter(
         "Returns the HTTP status.",
         "status",
         "u16",
-        &arms(rows, |r| r.status.to_string()),
+        &match_arms(rows, |r| r.status.to_string()),
     ));
     text.push_str(&getter(
         "Returns what is known of the work.",
         "ran",
         "Ran",
-        &arms(rows, |r| format!("Ran::{}", camel_case(&r.ran))),
+        &match_arms(rows, |r| format!("Ran::{}", camel_case(&r.ran))),
     ));
     text.push_str(&getter(
         "Returns after how many seconds to come back; zero if that does not help.",
         "retry_secs",
         "u64",
-        &arms(rows, |r| r.retry.to_string()),
+        &match_arms(rows, |r| r.retry.to_string()),
     ));
     text.push_str(&getter(
         "Returns what happened, in a sentence.",
         "meaning",
         "&'static str",
-        &arms(rows, |r| format!("{:?}", r.meaning)),
+        &match_arms(rows, |r| format!("{:?}", r.meaning)),
     ));
     text.push_str(&getter(
         "Returns what the caller can do.",
         "remedy",
         "&'static str",
-        &arms(rows, |r| format!("{:?}", r.remedy)),
+        &match_arms(rows, |r| format!("{:?}", r.remedy)),
     ));
     text.push_str("}\n");
     text
@@ -152,7 +152,7 @@
     text
 }
 
-fn emit(path: &Path, text: &str, check: bool) -> eyre::Result<()> {
+fn write_or_check(path: &Path, text: &str, check: bool) -> eyre::Result<()> {
     if !check {
         return fs::write(path, text).wrap_err_with(|| format!("cannot write {}", path.display()));
     }
@@ -173,19 +173,19 @@
 fn main() -> eyre::Result<()> {
     let args = Args::parse();
     let rows: Vec<Row> = serde_json::from_str(&read(&args.root.join("gen/errors.json"))?)
-        .wrap_err("gen/errors.json does not fit its form")?;
+        .wrap_err("gen/errors.json is malformed")?;
     let capacity: Capacity = serde_json::from_str(&read(&args.root.join("gen/capacity.json"))?)
-        .wrap_err("gen/capacity.json does not fit its form")?;
+        .wrap_err("gen/capacity.json is malformed")?;
     let page = capacity.page(&read(&args.root.join("gen/capacity.md"))?)?;
-    emit(
+    write_or_check(
         &args.root.join("lib/src/code.rs"),
         &rust_text(&rows),
         args.check,
     )?;
-    emit(
+    write_or_check(
         &args.root.join("docs/errors.md"),
         &page_text(&rows),
         args.check,
     )?;
-    emit(&args.root.join("docs/CAPACITY.md"), &page, args.check)
+    write_or_check(&args.root.join("docs/CAPACITY.md"), &page, args.check)
 }
--- a/gen/tests/committed.rs
+++ b/gen/tests/committed.rs
@@ -1,10 +1,10 @@
-//! The committed output is what the tables yield.
+//! The committed files match the output that is generated from the tables.
 
 use std::path::Path;
 use std::process::Command;
 
 #[test]
-fn committed_output_agrees_with_its_tables() {
+fn committed_files_are_up_to_date() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
 
     let checked = Command::new(env!("CARGO_BIN_EXE_limpetferry-gen"))
--- a/keeper/tests/check.rs
+++ b/keeper/tests/check.rs
@@ -1,4 +1,4 @@
-//! The program checks its settings before it does anything.
+//! The process validates its settings with `--check`.
 
 use limpetferry_testutils::check::assert_common_faults;
 use limpetferry_testutils::check::assert_faultless;
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_limpetferry-keeper");
+const BINARY: &str = env!("CARGO_BIN_EXE_limpetferry-keeper");
 
 fn settings() -> Value {
     let mut settings = example("platform/keeper.json");
@@ -17,15 +17,15 @@
 
 #[test]
 fn the_example_has_no_faults() {
-    assert_faultless(PROGRAM, &settings());
+    assert_faultless(BINARY, &settings());
 }
 
 #[test]
 fn every_fault_is_listed_with_its_remedy() {
-    assert_common_faults(PROGRAM, settings());
+    assert_common_faults(BINARY, settings());
 }
 
 #[test]
-fn unknown_fields_are_refused() {
-    assert_unknown_refused(PROGRAM, settings());
+fn unknown_fields_are_rejected() {
+    assert_unknown_refused(BINARY, settings());
 }
--- a/side/src/main.rs
+++ b/side/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts a side process.
+//! The limpetferry side process.
 
 use std::path::PathBuf;
 
@@ -10,10 +10,10 @@
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// File with the settings, in JSON.
+    /// JSON file with the settings.
     #[arg(long)]
     settings: PathBuf,
-    /// Only checks the settings; exits with 1 if they have faults.
+    /// Only checks the settings; exits with 1 if they are invalid.
     #[arg(long)]
     check: bool,
 }
--- a/side/tests/check.rs
+++ b/side/tests/check.rs
@@ -1,4 +1,4 @@
-//! The program checks its settings before it does anything.
+//! The process validates its settings with `--check`.
 
 use limpetferry_testutils::check::assert_faultless;
 use limpetferry_testutils::check::assert_faults;
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_limpetferry-side");
+const BINARY: &str = env!("CARGO_BIN_EXE_limpetferry-side");
 
 fn settings() -> Value {
     example("hand/engine-1.json")
@@ -15,7 +15,7 @@
 
 #[test]
 fn the_example_has_no_faults() {
-    assert_faultless(PROGRAM, &settings());
+    assert_faultless(BINARY, &settings());
 }
 
 #[test]
@@ -30,10 +30,10 @@
         "node: give 1 to 64",
         "rules.takeover_ms: give at least 200",
     ];
-    assert_faults(PROGRAM, &settings, &faults);
+    assert_faults(BINARY, &settings, &faults);
 }
 
 #[test]
-fn unknown_fields_are_refused() {
-    assert_unknown_refused(PROGRAM, settings());
+fn unknown_fields_are_rejected() {
+    assert_unknown_refused(BINARY, settings());
 }
