--- a/lib/src/allowance.rs
+++ b/lib/src/allowance.rs
@@ -86,7 +86,7 @@
     /// Requests that are reserved for gateways without a reachable keeper.
     pub reserve: u32,
     /// Requests that the gateway sent within the window, as returned by
-    /// [`SlidingWindow::ages`](crate::recent::SlidingWindow::ages).
+    /// [`SlidingWindow::ages`](crate::sliding_window::SlidingWindow::ages).
     pub ages: Vec<u16>,
     /// Programs whose first request reached the gateway since its last report.
     pub programs: Vec<u64>,
--- a/lib/src/allowance_book.rs
+++ b/lib/src/allowance_counter.rs
@@ -24,7 +24,7 @@
 use crate::allowance::Ruling;
 use crate::allowance::Use;
 use crate::allowance::UseReply;
-use crate::recent::SlidingWindow;
+use crate::sliding_window::SlidingWindow;
 use crate::time::Time;
 
 /// Weight, in programs, of the mean over all workspaces in a workspace's own
--- a/lib/src/candidate.rs
+++ b/lib/src/candidate.rs
@@ -5,9 +5,11 @@
 
 use crate::cached::Cached;
 use crate::call::Part;
+use crate::criteria::ServerKey;
+use crate::criteria::Wish;
 use crate::hash;
 use crate::load_report::ServerSample;
-use crate::others::OtherLoad;
+use crate::other_load::OtherLoad;
 use crate::outlier::Health;
 use crate::own_history::OwnHistory;
 use crate::pace::Pace;
@@ -18,8 +20,6 @@
 use crate::service_time::ServiceTime;
 use crate::service_time::Work;
 use crate::time::Time;
-use crate::wish::ServerKey;
-use crate::wish::Wish;
 
 /// Share of a prompt's prefill time that delays each other request at the
 /// server: engines interleave prefill with the decoding of running requests.
--- a/lib/src/effect.rs
+++ b/lib/src/effect.rs
@@ -3,11 +3,11 @@
 use crate::id::CallId;
 use crate::id::NodeId;
 use crate::id::ProgramId;
-use crate::keeper::CopyRecord;
 use crate::message::Message;
 use crate::message::Reply;
 use crate::program::Target;
-use crate::shard::Block;
+use crate::shard_copies::CopyRecord;
+use crate::shard_map::Block;
 
 /// Identifies a caller's request at an entry's listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -5,13 +5,12 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-use crate::assign::Planner;
+use crate::callers::Front;
 use crate::document::Documents;
 use crate::document::Update;
 use crate::effect::CallerKey;
 use crate::effect::Effect;
 use crate::effect::Note;
-use crate::front::Front;
 use crate::id::Boot;
 use crate::id::DataCentre;
 use crate::id::NodeId;
@@ -27,9 +26,10 @@
 use crate::owner::Owner;
 use crate::owner::Phase;
 use crate::rules::Rules;
-use crate::shard::Assignment;
-use crate::shard::Block;
-use crate::shard::ShardMap;
+use crate::shard_map::Assignment;
+use crate::shard_map::Block;
+use crate::shard_map::ShardMap;
+use crate::shard_planner::Planner;
 use crate::time::Time;
 
 /// Shortest time between two swaps of the same block.
@@ -356,7 +356,7 @@
             return;
         }
         for shard in changed {
-            let offset = usize::from(shard.0 % crate::shard::BLOCK_SHARDS);
+            let offset = usize::from(shard.0 % crate::shard_map::BLOCK_SHARDS);
             let old = before.get(offset).cloned().unwrap_or_default();
             self.apply_assignment(now, shard, &old, out);
         }
--- a/lib/src/fleet/paces.rs
+++ b/lib/src/fleet/paces.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use super::Fleet;
+use crate::criteria::ServerKey;
 use crate::pace::Baseline;
 use crate::pace::PaceChange;
 use crate::pace::PaceContext;
@@ -13,7 +14,6 @@
 use crate::service_time::Span;
 use crate::service_time::Work;
 use crate::time::Time;
-use crate::wish::ServerKey;
 
 /// Maximum share of a service's servers that may be late before overdue
 /// requests are ignored: beyond it, the slowdown concerns the whole service.
--- a/lib/src/fleet/reports.rs
+++ b/lib/src/fleet/reports.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use super::Fleet;
+use crate::load_estimator::OwnUse;
 use crate::load_map::MAX_SAMPLES;
 use crate::load_map::ServerServices;
 use crate::load_report::ServerSample;
 use crate::load_report::ServerStart;
 use crate::place::Place;
 use crate::server::ServerState;
-use crate::service_loads::OwnUse;
 use crate::service_time::ServiceTime;
 use crate::time::Time;
 
--- a/lib/src/ask.rs
+++ b/lib/src/keeper_protocol.rs
@@ -18,8 +18,8 @@
 use crate::load_report::LoadSummary;
 use crate::membership::ListRequest;
 use crate::membership::Membership;
-use crate::opening::View;
 use crate::place::Place;
+use crate::turn_admission::View;
 
 /// Matches replies to requests on one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
--- a/lib/src/message.rs
+++ b/lib/src/message.rs
@@ -26,7 +26,7 @@
 use crate::program::ProgramHead;
 use crate::program::Target;
 use crate::program::Urgency;
-use crate::shard::Block;
+use crate::shard_map::Block;
 
 /// Identifies a waiting caller at an entry; unique across restarts of the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -47,8 +47,8 @@
 use crate::program::Supply;
 use crate::program::Target;
 use crate::rules::Rules;
-use crate::shard::Assignment;
-use crate::shard::ShardMap;
+use crate::shard_map::Assignment;
+use crate::shard_map::ShardMap;
 use crate::time::Time;
 
 /// Bytes of JSON text that are estimated as one token when tokens are
@@ -59,7 +59,7 @@
 /// the keeper gets a full copy instead.
 pub(crate) const MAX_UNKEPT: usize = 10_000;
 
-/// What [`Owner`] and [`crate::front::Front`] read besides their own state,
+/// What [`Owner`] and [`crate::callers::Front`] read besides their own state,
 /// and the list that their effects are appended to.
 pub(crate) struct Context<'a> {
     pub now: Time,
--- a/lib/src/spending.rs
+++ b/lib/src/rate_limiter.rs
@@ -18,7 +18,7 @@
 use crate::allowance::Use;
 use crate::allowance::UseReply;
 use crate::hash;
-use crate::recent::SlidingWindow;
+use crate::sliding_window::SlidingWindow;
 use crate::time::Time;
 use crate::workspace::Allowance;
 use crate::workspace::Workspace;
--- a/lib/src/assign.rs
+++ b/lib/src/shard_planner.rs
@@ -14,9 +14,9 @@
 use crate::owner::Owner;
 use crate::owner::Phase;
 use crate::rank;
-use crate::shard::Assignment;
-use crate::shard::BLOCK_SHARDS;
-use crate::shard::Block;
+use crate::shard_map::Assignment;
+use crate::shard_map::BLOCK_SHARDS;
+use crate::shard_map::Block;
 
 /// Minimum time that an entry owns a shard before it is moved for balance.
 const BALANCE_REST: Duration = Duration::from_secs(10);
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -18,7 +18,7 @@
 use crate::owner::reply;
 use crate::program::CallStage;
 use crate::program::ProgramCopy;
-use crate::shard::Assignment;
+use crate::shard_map::Assignment;
 
 impl Owner {
     /// Starts to own `shard` according to `assignment`. With `is_new`, there
--- a/lib/tests/cached.rs
+++ b/lib/tests/cached.rs
@@ -5,13 +5,13 @@
 
 use limpetferry_lib::cached::Cached;
 use limpetferry_lib::call::Part;
+use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::place::Places;
 use limpetferry_lib::server::Server;
 use limpetferry_lib::server::ServerState;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::Wish;
 
 const SHARED: u64 = 1;
 const CHAIN: u64 = 2;
--- a/lib/tests/dispatch_queue.rs
+++ b/lib/tests/dispatch_queue.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use limpetferry_lib::concurrency::Concurrency;
+use limpetferry_lib::concurrency_limit::Concurrency;
 use limpetferry_lib::dispatch_queue::DispatchQueue;
 use limpetferry_lib::dispatch_queue::QueueBounds;
 use limpetferry_lib::dispatch_queue::QueueRefusal;
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -7,6 +7,9 @@
 use std::time::Duration;
 
 use limpetferry_lib::call::Part;
+use limpetferry_lib::criteria::Connected;
+use limpetferry_lib::criteria::ServerKey;
+use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::fleet::Arrival;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::fleet::LAPSE_WAIT;
@@ -17,9 +20,6 @@
 use limpetferry_lib::server::ServerState;
 use limpetferry_lib::switches::Switches;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::Connected;
-use limpetferry_lib::wish::ServerKey;
-use limpetferry_lib::wish::Wish;
 
 fn server(number: u16) -> Server {
     Server {
--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -8,6 +8,8 @@
 use limpetferry_lib::call::Part;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::id::Boot;
+use limpetferry_lib::load_estimator::KnownLoads;
+use limpetferry_lib::load_estimator::OwnUse;
 use limpetferry_lib::load_map::LoadMap;
 use limpetferry_lib::load_map::MAX_SAMPLES;
 use limpetferry_lib::load_report::GatewayState;
@@ -18,14 +20,12 @@
 use limpetferry_lib::load_report::ServiceLoads as _;
 use limpetferry_lib::load_report::ServiceUse;
 use limpetferry_lib::place::Place;
-use limpetferry_lib::report_times::Duty;
-use limpetferry_lib::report_times::ReportTimes;
+use limpetferry_lib::report_schedule::Duty;
+use limpetferry_lib::report_schedule::ReportTimes;
 use limpetferry_lib::request_rates::Counts;
 use limpetferry_lib::server::Load;
 use limpetferry_lib::server::Server;
 use limpetferry_lib::server::ServerState;
-use limpetferry_lib::service_loads::KnownLoads;
-use limpetferry_lib::service_loads::OwnUse;
 use limpetferry_lib::time::Time;
 
 /// Relative error of an estimate that decisions still tolerate.
--- a/lib/tests/members.rs
+++ b/lib/tests/members.rs
@@ -23,8 +23,8 @@
 use limpetferry_lib::message::Reply;
 use limpetferry_lib::message::Request;
 use limpetferry_lib::rules::Rules;
-use limpetferry_lib::shard::Assignment;
-use limpetferry_lib::shard::Block;
+use limpetferry_lib::shard_map::Assignment;
+use limpetferry_lib::shard_map::Block;
 use limpetferry_lib::time::Time;
 
 fn node(name: &str, role: Role) -> Node {
--- a/lib/tests/opening.rs
+++ b/lib/tests/opening.rs
@@ -7,10 +7,10 @@
 use limpetferry_lib::ledger::Presence;
 use limpetferry_lib::ledger::Share;
 use limpetferry_lib::membership::Membership;
-use limpetferry_lib::opening::Opening;
-use limpetferry_lib::opening::Step;
-use limpetferry_lib::opening::Verdict;
-use limpetferry_lib::opening::View;
+use limpetferry_lib::turn_admission::Opening;
+use limpetferry_lib::turn_admission::Step;
+use limpetferry_lib::turn_admission::Verdict;
+use limpetferry_lib::turn_admission::View;
 
 const BUDGET: u64 = 60;
 const MOST: u64 = 30;
--- a/lib/tests/outlier.rs
+++ b/lib/tests/outlier.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use limpetferry_lib::criteria::ServerKey;
+use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::outlier::Health;
 use limpetferry_lib::server::Outcome;
 use limpetferry_lib::server::Server;
 use limpetferry_lib::server::ServerState;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::ServerKey;
-use limpetferry_lib::wish::Wish;
 
 const SERVERS: u16 = 6;
 /// Time of a successful answer; failures are immediate.
--- a/lib/tests/pace.rs
+++ b/lib/tests/pace.rs
@@ -7,6 +7,8 @@
 use std::time::Duration;
 
 use limpetferry_lib::call::Part;
+use limpetferry_lib::criteria::ServerKey;
+use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::pace::Pace;
 use limpetferry_lib::pace::PaceChange;
@@ -19,8 +21,6 @@
 use limpetferry_lib::service_time::Work;
 use limpetferry_lib::switches::Switches;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::ServerKey;
-use limpetferry_lib::wish::Wish;
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
--- a/lib/tests/support/store.rs
+++ b/lib/tests/support/store.rs
@@ -4,7 +4,7 @@
 
 use limpetferry_lib::entry::Event;
 use limpetferry_lib::id::NodeId;
-use limpetferry_lib::shard::Block;
+use limpetferry_lib::shard_map::Block;
 
 /// A request to the service.
 #[derive(Clone, Debug)]
--- a/lib/tests/tenants.rs
+++ b/lib/tests/tenants.rs
@@ -32,8 +32,8 @@
 use limpetferry_lib::program::Target;
 use limpetferry_lib::program::Urgency;
 use limpetferry_lib::rules::Rules;
-use limpetferry_lib::shard::Assignment;
-use limpetferry_lib::shard::Block;
+use limpetferry_lib::shard_map::Assignment;
+use limpetferry_lib::shard_map::Block;
 use limpetferry_lib::time::Time;
 use serde_json::json;
 
--- a/lib/tests/turn_world/mod.rs
+++ b/lib/tests/turn_world/mod.rs
@@ -15,11 +15,11 @@
 use limpetferry_lib::ledger::Record;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::membership::Standing;
-use limpetferry_lib::opening::Opening;
-use limpetferry_lib::opening::Step;
-use limpetferry_lib::opening::Verdict;
-use limpetferry_lib::opening::View;
 use limpetferry_lib::time::Time;
+use limpetferry_lib::turn_admission::Opening;
+use limpetferry_lib::turn_admission::Step;
+use limpetferry_lib::turn_admission::Verdict;
+use limpetferry_lib::turn_admission::View;
 
 /// Number of turns after which a new program starts, since the budget of the
 /// previous one is nearly used up.
--- a/net/src/attempt.rs
+++ b/net/src/attempt.rs
@@ -9,6 +9,8 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use limpetferry_lib::call::Part;
+use limpetferry_lib::criteria::ServerKey;
+use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::dispatch_queue::Waiting;
 use limpetferry_lib::pace::WaitKey;
 use limpetferry_lib::place::Place;
@@ -18,8 +20,6 @@
 use limpetferry_lib::service_time::Work;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::urgency;
-use limpetferry_lib::wish::ServerKey;
-use limpetferry_lib::wish::Wish;
 use limpetferry_platform::header;
 use limpetferry_platform::header::Dispatch;
 
--- a/net/src/copies.rs
+++ b/net/src/copies.rs
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 
 use limpetferry_lib::id::NodeId;
-use limpetferry_lib::keeper::CopyRecord;
+use limpetferry_lib::shard_copies::CopyRecord;
 use thiserror::Error;
 
 use crate::frames;
--- a/net/src/disk.rs
+++ b/net/src/disk.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use limpetferry_lib::ask::KeeperMessage;
-use limpetferry_lib::ask::Reply;
-use limpetferry_lib::ask::Snapshot;
-use limpetferry_lib::ask::Ticket;
 use limpetferry_lib::effect::Note;
+use limpetferry_lib::keeper_protocol::KeeperMessage;
+use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::Snapshot;
+use limpetferry_lib::keeper_protocol::Ticket;
 use limpetferry_lib::ledger::Record;
 
 use crate::log;
--- a/net/src/dispatch.rs
+++ b/net/src/dispatch.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use limpetferry_lib::concurrency::Concurrency;
+use limpetferry_lib::concurrency_limit::Concurrency;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::dispatch_queue::DispatchQueue;
 use limpetferry_lib::dispatch_queue::EntryKey;
 use limpetferry_lib::dispatch_queue::QueueBounds;
@@ -19,7 +20,6 @@
 use limpetferry_lib::fleet::Room;
 use limpetferry_lib::server::Outcome;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::ServerKey;
 
 use crate::clock::Clock;
 use crate::site::Site;
--- a/net/src/entry_node.rs
+++ b/net/src/entry_node.rs
@@ -25,7 +25,7 @@
 use limpetferry_lib::member::Role;
 use limpetferry_lib::message::Reply;
 use limpetferry_lib::message::Request;
-use limpetferry_lib::shard::Block;
+use limpetferry_lib::shard_map::Block;
 
 use crate::clock::Clock;
 use crate::http::Bounds;
@@ -555,7 +555,7 @@
         .common
         .rules
         .shards
-        .div_ceil(limpetferry_lib::shard::BLOCK_SHARDS);
+        .div_ceil(limpetferry_lib::shard_map::BLOCK_SHARDS);
     for block in 0..blocks {
         let key = keys::block(block);
         let item = items.iter().find(|item| item.key == key);
--- a/net/src/flow.rs
+++ b/net/src/flow.rs
@@ -11,12 +11,12 @@
 use http_body_util::StreamBody;
 use hyper::body::Frame;
 use hyper::body::Incoming;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::events::Event;
 use limpetferry_lib::events::Splitter;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::routing::Kind;
 use limpetferry_lib::server::Outcome;
-use limpetferry_lib::wish::ServerKey;
 use limpetferry_platform::header;
 
 use crate::attempt::Failure;
--- a/net/src/follow.rs
+++ b/net/src/follow.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::ask::KeeperMessage;
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
-use limpetferry_lib::ask::Ticket;
 use limpetferry_lib::effect::Note;
+use limpetferry_lib::keeper_protocol::KeeperMessage;
+use limpetferry_lib::keeper_protocol::Question;
+use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::Ticket;
 use limpetferry_lib::membership::Membership;
 
 use crate::clock::Clock;
--- a/net/src/gateway/notes.rs
+++ b/net/src/gateway/notes.rs
@@ -4,9 +4,9 @@
 use limpetferry_lib::allowance::Shortage;
 use limpetferry_lib::allowance::UseReply;
 use limpetferry_lib::call::Call;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::effect::Note;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::ServerKey;
 use limpetferry_lib::workspace::Workspace;
 use prometheus::core::Collector as _;
 
--- a/net/src/keeper_list.rs
+++ b/net/src/keeper_list.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
 use limpetferry_lib::effect::Note;
+use limpetferry_lib::keeper_protocol::Question;
+use limpetferry_lib::keeper_protocol::Reply;
 use limpetferry_lib::ledger::ProgramDigest;
 use limpetferry_lib::membership::ListRequest;
 use limpetferry_lib::membership::Membership;
--- a/net/src/known.rs
+++ b/net/src/known.rs
@@ -5,10 +5,10 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use limpetferry_lib::ask::Change;
-use limpetferry_lib::ask::Snapshot;
-use limpetferry_lib::ask::Stored;
 use limpetferry_lib::fleet::Fleet;
+use limpetferry_lib::keeper_protocol::Change;
+use limpetferry_lib::keeper_protocol::Snapshot;
+use limpetferry_lib::keeper_protocol::Stored;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::routing::Routing;
 use limpetferry_lib::store_watch::StoreWatch;
--- a/net/src/load_reporter.rs
+++ b/net/src/load_reporter.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
 use limpetferry_lib::effect::Note;
+use limpetferry_lib::keeper_protocol::Question;
+use limpetferry_lib::keeper_protocol::Reply;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::load_report::LoadReport;
-use limpetferry_lib::report_times::Duty;
-use limpetferry_lib::report_times::ReportTimes;
+use limpetferry_lib::report_schedule::Duty;
+use limpetferry_lib::report_schedule::ReportTimes;
 use limpetferry_lib::time::Time;
 
 use crate::clock::Clock;
--- a/net/src/load_reports.rs
+++ b/net/src/load_reports.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use limpetferry_lib::effect::Note;
+use limpetferry_lib::load_estimator::KnownLoads;
+use limpetferry_lib::load_estimator::OwnUse;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::load_report::LoadSummary;
 use limpetferry_lib::load_report::ServiceEstimate;
 use limpetferry_lib::load_report::ServiceLoads;
 use limpetferry_lib::load_report::ServiceUse;
-use limpetferry_lib::service_loads::KnownLoads;
-use limpetferry_lib::service_loads::OwnUse;
 use limpetferry_lib::time::Time;
 
 use crate::dispatch::QueueState;
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -6,10 +6,10 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
+use limpetferry_lib::criteria::Connected;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::idle_limit::IdleLimit;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::Connected;
-use limpetferry_lib::wish::ServerKey;
 
 use crate::http::HttpError;
 use crate::http::Sender;
--- a/net/src/replicas.rs
+++ b/net/src/replicas.rs
@@ -7,13 +7,13 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use limpetferry_lib::ask::KeeperMessage;
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
-use limpetferry_lib::ask::Ticket;
 use limpetferry_lib::effect::Note;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::NodeId;
+use limpetferry_lib::keeper_protocol::KeeperMessage;
+use limpetferry_lib::keeper_protocol::Question;
+use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::Ticket;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::time::Time;
 
--- a/net/src/segments.rs
+++ b/net/src/segments.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::path::PathBuf;
 
-use limpetferry_lib::ask::Snapshot;
+use limpetferry_lib::keeper_protocol::Snapshot;
 use limpetferry_lib::ledger::Record;
 use thiserror::Error;
 
--- a/net/src/side_node.rs
+++ b/net/src/side_node.rs
@@ -15,10 +15,10 @@
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::CallId;
 use limpetferry_lib::id::ProgramId;
-use limpetferry_lib::keeper::CopyRecord;
 use limpetferry_lib::member::Node;
 use limpetferry_lib::member::Role;
-use limpetferry_lib::shard::BLOCK_SHARDS;
+use limpetferry_lib::shard_copies::CopyRecord;
+use limpetferry_lib::shard_map::BLOCK_SHARDS;
 use limpetferry_lib::side::Event;
 use limpetferry_lib::side::Side;
 
--- a/net/src/site.rs
+++ b/net/src/site.rs
@@ -10,11 +10,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use limpetferry_lib::ask::Change;
-use limpetferry_lib::ask::Reply;
-use limpetferry_lib::ask::Snapshot;
 use limpetferry_lib::effect::Note;
 use limpetferry_lib::fleet::LAPSE_WAIT;
+use limpetferry_lib::keeper_protocol::Change;
+use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::Snapshot;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::routing::Routing;
 use limpetferry_lib::time::Time;
--- a/net/src/site_file.rs
+++ b/net/src/site_file.rs
@@ -6,7 +6,7 @@
 use std::io::Write as _;
 use std::path::Path;
 
-use limpetferry_lib::ask::Snapshot;
+use limpetferry_lib::keeper_protocol::Snapshot;
 
 /// Name of the file.
 const NAME: &str = "site";
--- a/net/src/turn_end.rs
+++ b/net/src/turn_end.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
+use limpetferry_lib::keeper_protocol::Question;
+use limpetferry_lib::keeper_protocol::Reply;
 use limpetferry_lib::ledger::Begin;
 use limpetferry_lib::ledger::Finish;
 use limpetferry_lib::membership::Membership;
--- a/net/src/turns.rs
+++ b/net/src/turns.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
-use limpetferry_lib::chains::Chains;
+use limpetferry_lib::chain_cache::Chains;
+use limpetferry_lib::keeper_protocol::Question;
+use limpetferry_lib::keeper_protocol::Reply;
 use limpetferry_lib::ledger::Begin;
 use limpetferry_lib::ledger::Finish;
 use limpetferry_lib::ledger::Link;
 use limpetferry_lib::ledger::Presence;
 use limpetferry_lib::membership::Membership;
-use limpetferry_lib::opening::Opening;
-use limpetferry_lib::opening::Step;
-use limpetferry_lib::opening::Verdict;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::time::Time;
+use limpetferry_lib::turn_admission::Opening;
+use limpetferry_lib::turn_admission::Step;
+use limpetferry_lib::turn_admission::Verdict;
 
 use crate::clock::Clock;
 use crate::replicas::Heard;
--- a/net/tests/load_reports.rs
+++ b/net/tests/load_reports.rs
@@ -6,12 +6,12 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use limpetferry_lib::ask::KeeperMessage;
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::Digest;
 use limpetferry_lib::id::NodeId;
+use limpetferry_lib::keeper_protocol::KeeperMessage;
+use limpetferry_lib::keeper_protocol::Question;
+use limpetferry_lib::keeper_protocol::Reply;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::load_report::LoadSummary;
 use limpetferry_lib::load_report::ServiceLoad;
--- a/net/tests/site.rs
+++ b/net/tests/site.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use async_channel::Sender;
-use limpetferry_lib::ask::Change;
+use limpetferry_lib::keeper_protocol::Change;
 use limpetferry_lib::store_watch::MOST_HOLD;
 use limpetferry_lib::workspace::KeyDigester;
 use limpetferry_net::clock::Clock;
