--- a/lib/src/allowance.rs
+++ b/lib/src/allowance.rs
@@ -77,7 +77,7 @@
 
 /// A gateway's report on its use of a workspace's allowance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct UsageReport {
     /// Name of the workspace.
     pub workspace: Arc<str>,
     /// Requests that may be sent within a window, by the gateway's version of the
@@ -130,7 +130,7 @@
 
 /// A keeper's decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ruling {
+pub enum KeeperDecision {
     /// It may be sent.
     Go,
     /// The allowance is exhausted; it has room for a request after this time.
@@ -145,9 +145,9 @@
     },
 }
 
-/// A keeper's reply to a [`Use`].
+/// A keeper's reply to a [`UsageReport`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseReply {
+pub struct UsageReply {
     /// Requests within the window that other gateways sent, or are expected to
     /// send for the running programs; `None` while each request needs permission.
     pub others: Option<u32>,
@@ -161,7 +161,7 @@
     /// has.
     pub young: Duration,
     /// Decision on the request that needed permission, if there was one.
-    pub ruling: Option<Ruling>,
+    pub ruling: Option<KeeperDecision>,
 }
 
 /// One run of a process; a restarted process has lost its state.
--- a/lib/src/allowance_counter.rs
+++ b/lib/src/allowance_counter.rs
@@ -19,11 +19,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::allowance::KeeperDecision;
 use crate::allowance::PendingRequest;
 use crate::allowance::ProcessStart;
-use crate::allowance::Ruling;
-use crate::allowance::Use;
-use crate::allowance::UseReply;
+use crate::allowance::UsageReply;
+use crate::allowance::UsageReport;
 use crate::sliding_window::SlidingWindow;
 use crate::time::Time;
 
@@ -157,7 +157,7 @@
     }
 
     /// Applies a gateway's report, and returns its requests within the window.
-    fn apply(&mut self, now: Time, gateway: &ProcessStart, report: &Use) -> u32 {
+    fn apply(&mut self, now: Time, gateway: &ProcessStart, report: &UsageReport) -> u32 {
         if self.stand_in && !report.stand_in {
             self.become_responsible(now);
         }
@@ -171,28 +171,34 @@
     }
 
     /// Decides on a request that has been counted already.
-    fn decide(&mut self, now: Time, pending: PendingRequest, limit: f64, mean: f64) -> Ruling {
+    fn decide(
+        &mut self,
+        now: Time,
+        pending: PendingRequest,
+        limit: f64,
+        mean: f64,
+    ) -> KeeperDecision {
         let all = self.total(now);
         if let Some(wait) = self.time_until_reported(now, all, limit) {
-            return Ruling::Full(wait);
+            return KeeperDecision::Full(wait);
         }
         let over = f64::from(all) - limit;
         if over > 0.0 {
-            return Ruling::Full(self.time_until_room(now, over));
+            return KeeperDecision::Full(self.time_until_room(now, over));
         }
         let Some(program) = pending.program else {
-            return Ruling::Go;
+            return KeeperDecision::Go;
         };
         let begun = pending.begun || self.programs.contains_key(&program);
         let contended = f64::from(self.refused.total(now)) > limit * CONTENTION_SHARE;
         if !begun && contended {
             let ruling = self.decide_new_program(now, all, limit, mean);
-            if ruling != Ruling::Go {
+            if ruling != KeeperDecision::Go {
                 return ruling;
             }
         }
         self.record_program(now, program);
-        Ruling::Go
+        KeeperDecision::Go
     }
 
     /// Returns how long a newly responsible keeper waits before it permits the next
@@ -215,7 +221,7 @@
     }
 
     /// Decides on a new program under contention.
-    fn decide_new_program(&mut self, now: Time, all: u32, limit: f64, mean: f64) -> Ruling {
+    fn decide_new_program(&mut self, now: Time, all: u32, limit: f64, mean: f64) -> KeeperDecision {
         let limit = (limit * NEW_PROGRAM_SHARE).max(1.0);
         let starts = f64::from(self.starts.total(now));
         let expected = f64::from(all).max(starts * mean) + mean;
@@ -228,9 +234,9 @@
         };
         if room.is_zero() {
             self.next_start = now + every;
-            return Ruling::Go;
+            return KeeperDecision::Go;
         }
-        Ruling::Closed {
+        KeeperDecision::Closed {
             room,
             turn: self.schedule_retry(now, room, every),
         }
@@ -246,8 +252,8 @@
     }
 
     /// Records the decision on a request; a refused request is not counted.
-    fn record_ruling(&mut self, now: Time, gateway: &ProcessStart, ruling: Ruling) {
-        if ruling == Ruling::Go {
+    fn record_ruling(&mut self, now: Time, gateway: &ProcessStart, ruling: KeeperDecision) {
+        if ruling == KeeperDecision::Go {
             self.granted += 1;
             return;
         }
@@ -272,7 +278,7 @@
 
 /// Counts of the workspaces that a keeper is responsible for, or a standby of.
 #[derive(Clone, Debug)]
-pub struct AllowanceBook {
+pub struct AllowanceCounter {
     window: Duration,
     /// Start of the counting; `None` if nothing was sent before it.
     counting_since: Option<Time>,
@@ -282,7 +288,7 @@
     last_cleanup: Time,
 }
 
-impl AllowanceBook {
+impl AllowanceCounter {
     /// Creates the counts of a keeper that starts `now`; `first` if no request was
     /// sent before, because the whole system starts for the first time.
     pub fn new(window: Duration, now: Time, first: bool) -> Self {
@@ -298,7 +304,7 @@
 
     /// Applies a gateway's report on a workspace, and decides on the request that
     /// needs permission, if there is one.
-    pub fn take(&mut self, now: Time, gateway: &ProcessStart, report: &Use) -> UseReply {
+    pub fn take(&mut self, now: Time, gateway: &ProcessStart, report: &UsageReport) -> UsageReply {
         self.clean_up(now);
         self.last_reports.insert(gateway.clone(), now);
         let limit = self.limit(now, report);
@@ -320,7 +326,7 @@
         }
         let begun = account.starts.total(now);
         let expected = all.max((f64::from(begun) * mean) as u32);
-        UseReply {
+        UsageReply {
             others: account.is_uncontended(now).then(|| expected - own),
             used: all,
             begun,
@@ -334,7 +340,7 @@
     /// the gateway and this keeper have just started, the requests sent before are
     /// counted nowhere: the limit then grows with the time since this keeper's
     /// start, as if the allowance had been used evenly until then.
-    fn limit(&self, now: Time, report: &Use) -> f64 {
+    fn limit(&self, now: Time, report: &UsageReport) -> f64 {
         let limit = f64::from(report.limit);
         let Some(since) = self.counting_since.filter(|_| report.young) else {
             return limit;
--- a/lib/src/call_end.rs
+++ b/lib/src/call_end.rs
@@ -3,7 +3,7 @@
 
 use crate::budget::Amount;
 use crate::code::Code;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::id::CallId;
 use crate::id::Deployment;
 use crate::id::Digest;
@@ -18,10 +18,10 @@
 use crate::outcome::Ran;
 use crate::outcome::Refusal;
 use crate::owner::Context;
+use crate::owner::DeferredAction;
 use crate::owner::Owner;
 use crate::owner::State;
-use crate::owner::Step;
-use crate::owner::Watcher;
+use crate::owner::Subscriber;
 use crate::owner::ending_reply;
 use crate::owner::history_update;
 use crate::owner::limits_per_entry;
@@ -58,7 +58,7 @@
                 let server = server.clone();
                 cx.send(&server, message);
             }
-            State::Recording { .. } => {}
+            State::PersistingOutcome { .. } => {}
         }
     }
 
@@ -69,7 +69,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        if matches!(call.state, State::Recording { .. }) {
+        if matches!(call.state, State::PersistingOutcome { .. }) {
             return;
         }
         if let Outcome::Answer(answer) = &outcome {
@@ -92,7 +92,7 @@
         };
         call.server.clone_from(&server);
         let was_awaiting_turn = call.state == State::AwaitingTurn;
-        call.state = State::Recording {
+        call.state = State::PersistingOutcome {
             outcome: outcome.clone(),
         };
         self.release_admission(cx, id);
@@ -103,7 +103,7 @@
         };
         let change = self.apply_outcome(cx, id, &outcome, server.as_ref(), was_awaiting_turn);
         let seq = self.keep(cx, shard, change.unwrap_or(Change::Probe));
-        self.after(cx, shard, seq, Step::Finish(id));
+        self.after(cx, shard, seq, DeferredAction::Finish(id));
     }
 
     /// Updates the program of a call that has ended. Returns the change for
@@ -208,7 +208,7 @@
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        let State::Recording { outcome } = call.state else {
+        let State::PersistingOutcome { outcome } = call.state else {
             return;
         };
         let digest = self
@@ -218,7 +218,7 @@
         for watcher in &call.watchers {
             reply(cx, watcher, ending_reply(&call.record, &outcome, digest));
         }
-        let note = Note::new("call_ended")
+        let note = LogEvent::new("call_ended")
             .with("call", id)
             .with("program", call.program)
             .with("number", call.record.number)
@@ -236,7 +236,7 @@
     pub(crate) fn replay_answer(
         &mut self,
         cx: &mut Context<'_>,
-        watcher: &Watcher,
+        watcher: &Subscriber,
         program: ProgramId,
         record: &CallRecord,
         offset: u64,
--- a/lib/src/call_start.rs
+++ b/lib/src/call_start.rs
@@ -21,10 +21,10 @@
 use crate::owner::Call;
 use crate::owner::CallLookup;
 use crate::owner::Context;
+use crate::owner::DeferredAction;
 use crate::owner::Owner;
 use crate::owner::State;
-use crate::owner::Step;
-use crate::owner::Watcher;
+use crate::owner::Subscriber;
 use crate::owner::candidates;
 use crate::owner::estimate_tokens;
 use crate::owner::limits_per_entry;
@@ -38,9 +38,9 @@
 use crate::program::CallRecord;
 use crate::program::CallRequest;
 use crate::program::CallStage;
+use crate::program::HistoryMode;
 use crate::program::ProgramCopy;
 use crate::program::ProgramHead;
-use crate::program::Supply;
 use crate::program::Target;
 use crate::program::Urgency;
 
@@ -49,7 +49,7 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
-        watcher: Watcher,
+        watcher: Subscriber,
         request: Box<CallRequest>,
         offset: u64,
     ) {
@@ -84,13 +84,13 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
-        watcher: Watcher,
+        watcher: Subscriber,
         refusal: Refusal,
     ) {
         match shard {
             Some(shard) if refusal.code.ran() != Ran::Ran => {
                 let seq = self.keep(cx, shard, Change::Probe);
-                self.after(cx, shard, seq, Step::Refuse(watcher, refusal));
+                self.after(cx, shard, seq, DeferredAction::Refuse(watcher, refusal));
             }
             _ => reply(cx, &watcher, Reply::Refused(refusal)),
         }
@@ -199,7 +199,7 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
-        watcher: Watcher,
+        watcher: Subscriber,
         request: Box<CallRequest>,
         number: u64,
     ) {
@@ -213,7 +213,7 @@
             idempotent: request.idempotent,
             need: Amount::default(),
             turns: request.turns.clone(),
-            replace: request.supply == Supply::Full,
+            replace: request.supply == HistoryMode::Full,
             stage: CallStage::Intended {
                 server: self.node.clone(),
                 boot: Boot::default(),
@@ -292,7 +292,7 @@
         history
             .verify()
             .map_err(|error| Refusal::with(Code::HistoryMismatch, error.to_string()))?;
-        if let Supply::Append(Some(digest)) = request.supply
+        if let HistoryMode::Append(Some(digest)) = request.supply
             && digest != history.digest()
         {
             let detail = format!("the history has {}", history.digest());
@@ -408,7 +408,7 @@
         program.copy.put(record.clone());
         let change = update(&program.copy, above, Some(record), Vec::new(), false);
         let seq = self.keep(cx, shard, change);
-        self.after(cx, shard, seq, Step::Dispatch(id));
+        self.after(cx, shard, seq, DeferredAction::Dispatch(id));
     }
 
     pub(crate) fn choose(&mut self, cx: &Context<'_>, id: CallId) -> Option<(NodeId, Boot)> {
@@ -469,7 +469,7 @@
             return;
         };
         let program = self.programs.get(&call.program);
-        let continued = program.filter(|_| request.supply != Supply::Full);
+        let continued = program.filter(|_| request.supply != HistoryMode::Full);
         let turns = continued
             .into_iter()
             .flat_map(|program| program.copy.history.turns());
--- a/lib/src/callers.rs
+++ b/lib/src/callers.rs
@@ -53,7 +53,7 @@
 
 /// The waiting callers of an entry.
 #[derive(Debug)]
-pub struct Front {
+pub struct Callers {
     node: NodeId,
     boot: Boot,
     serial: u64,
@@ -61,7 +61,7 @@
     tickets: BTreeMap<CallerKey, Ticket>,
 }
 
-impl Front {
+impl Callers {
     /// Creates a front without callers.
     pub(crate) fn new(node: NodeId, boot: Boot) -> Self {
         Self {
--- a/lib/src/candidate.rs
+++ b/lib/src/candidate.rs
@@ -5,8 +5,8 @@
 
 use crate::cached::Cached;
 use crate::call::Part;
+use crate::criteria::Criteria;
 use crate::criteria::ServerKey;
-use crate::criteria::Wish;
 use crate::hash;
 use crate::load_report::ServerSample;
 use crate::other_load::OtherLoad;
@@ -15,10 +15,10 @@
 use crate::pace::Pace;
 use crate::pace::PaceContext;
 use crate::server::Load;
-use crate::server::Outcome;
 use crate::server::Server;
+use crate::server::ServerOutcome;
+use crate::service_time::RequestConditions;
 use crate::service_time::ServiceTime;
-use crate::service_time::Work;
 use crate::time::Time;
 
 /// Share of a prompt's prefill time that delays each other request at the
@@ -128,8 +128,8 @@
     }
 
     /// Returns the conditions that a request would meet at this server.
-    pub(crate) fn work(&self, now: Time, others: OtherLoad, parts: &[Part]) -> Work {
-        Work {
+    pub(crate) fn work(&self, now: Time, others: OtherLoad, parts: &[Part]) -> RequestConditions {
+        RequestConditions {
             cold: self.cached.uncached_tokens(parts),
             others: f64::from(self.own) + self.others(now, others),
             slots: f64::from(self.server.slots),
@@ -159,7 +159,7 @@
         now: Time,
         key: ServerKey,
         stats: &ServiceStats<'_>,
-        wish: &Wish<'_>,
+        wish: &Criteria<'_>,
         pace: f64,
     ) -> f64 {
         let times = stats.times;
@@ -211,7 +211,12 @@
 
     /// Records that a request of this process is sent there, and returns the
     /// conditions it meets.
-    pub(crate) fn begin(&mut self, now: Time, others: OtherLoad, wish: &Wish<'_>) -> Work {
+    pub(crate) fn begin(
+        &mut self,
+        now: Time,
+        others: OtherLoad,
+        wish: &Criteria<'_>,
+    ) -> RequestConditions {
         let work = self.work(now, others, wish.parts);
         self.history.record(now, self.own);
         self.own += 1;
@@ -228,37 +233,37 @@
 
     /// Records how a request of this process ended; `mean_answer` is the
     /// mean time of answers.
-    pub(crate) fn end(&mut self, now: Time, outcome: Outcome, mean_answer: Duration) {
+    pub(crate) fn end(&mut self, now: Time, outcome: ServerOutcome, mean_answer: Duration) {
         self.history.record(now, self.own);
         self.own = self.own.saturating_sub(1);
         match outcome {
-            Outcome::Answered => {
+            ServerOutcome::Answered => {
                 self.broken = 0;
                 self.pause_until = None;
                 self.full_until = None;
                 self.health.record_outcome(now, false);
             }
-            Outcome::Failed => self.health.record_outcome(now, true),
-            Outcome::Full => {
+            ServerOutcome::Failed => self.health.record_outcome(now, true),
+            ServerOutcome::Full => {
                 self.pause_until = Some(now + FULL_PAUSE);
                 self.full_until = self.pause_until;
             }
-            Outcome::Broken => {
+            ServerOutcome::Broken => {
                 let pause = BROKEN_PAUSE * 2_u32.pow(self.broken.min(4));
                 self.pause_until = Some(now + pause.min(MAX_PAUSE));
                 self.broken += 1;
                 self.health.record_outcome(now, true);
             }
-            Outcome::Replaced => self.pause_until = Some(now + MAX_PAUSE),
+            ServerOutcome::Replaced => self.pause_until = Some(now + MAX_PAUSE),
             // The caller disconnected or its deadline passed. This counts
             // against the server only if it has not responded for long.
-            Outcome::Abandoned if self.health.is_silent(now, mean_answer) => {
+            ServerOutcome::Abandoned if self.health.is_silent(now, mean_answer) => {
                 self.health.record_silence(now);
             }
-            Outcome::Silent => self.health.record_silence(now),
-            Outcome::Abandoned => {}
+            ServerOutcome::Silent => self.health.record_silence(now),
+            ServerOutcome::Abandoned => {}
         }
-        if outcome != Outcome::Abandoned || self.own == 0 {
+        if outcome != ServerOutcome::Abandoned || self.own == 0 {
             self.health.record_response();
         }
     }
--- a/lib/src/chain_cache.rs
+++ b/lib/src/chain_cache.rs
@@ -7,19 +7,19 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 
-use crate::ledger::Link;
+use crate::ledger::ChainLink;
 
 /// A cache of limited size with two generations: when the young generation
 /// reaches half of the size, it replaces the old one.
 #[derive(Clone, Debug)]
-pub struct Chains {
+pub struct ChainCache {
     max_bytes: usize,
-    young: HashMap<Arc<str>, Link>,
+    young: HashMap<Arc<str>, ChainLink>,
     young_bytes: usize,
-    old: HashMap<Arc<str>, Link>,
+    old: HashMap<Arc<str>, ChainLink>,
 }
 
-impl Chains {
+impl ChainCache {
     /// Creates an empty cache for at most `max_bytes` bytes of text.
     pub fn new(max_bytes: usize) -> Self {
         Self {
@@ -31,7 +31,7 @@
     }
 
     /// Adds a turn.
-    pub fn put(&mut self, link: Link) {
+    pub fn put(&mut self, link: ChainLink) {
         if self.young.contains_key(&link.turn) {
             return;
         }
@@ -43,7 +43,7 @@
         self.young.insert(link.turn.clone(), link);
     }
 
-    fn get(&mut self, turn: &str) -> Option<Link> {
+    fn get(&mut self, turn: &str) -> Option<ChainLink> {
         if let Some(link) = self.young.get(turn) {
             return Some(link.clone());
         }
--- a/lib/src/concurrency_limit.rs
+++ b/lib/src/concurrency_limit.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use crate::server::Outcome;
+use crate::server::ServerOutcome;
 use crate::time::Time;
 
 /// Factor by which a refusal lowers the limit.
@@ -32,7 +32,7 @@
 
 /// The requests of a gateway at the servers of one service, and their limit.
 #[derive(Clone, Debug, Default)]
-pub struct Concurrency {
+pub struct ConcurrencyLimit {
     running: u32,
     limit: Option<Limit>,
 }
@@ -91,7 +91,7 @@
     }
 }
 
-impl Concurrency {
+impl ConcurrencyLimit {
     /// Returns the number of requests under way.
     pub fn running(&self) -> u32 {
         self.running
@@ -127,10 +127,17 @@
     /// Records the outcome of a request that was sent at `sent`. `places` is how many
     /// requests of all gateways the servers hold, and `wait` how long the oldest
     /// queued request of this gateway has waited.
-    pub fn end(&mut self, now: Time, sent: Time, outcome: Outcome, places: u32, wait: Duration) {
+    pub fn end(
+        &mut self,
+        now: Time,
+        sent: Time,
+        outcome: ServerOutcome,
+        places: u32,
+        wait: Duration,
+    ) {
         match outcome {
-            Outcome::Full => self.lower(now, sent, places),
-            Outcome::Answered | Outcome::Failed => self.raise(now, places, wait),
+            ServerOutcome::Full => self.lower(now, sent, places),
+            ServerOutcome::Answered | ServerOutcome::Failed => self.raise(now, places, wait),
             _ => {}
         }
         self.running = self.running.saturating_sub(1);
--- a/lib/src/criteria.rs
+++ b/lib/src/criteria.rs
@@ -10,14 +10,14 @@
 }
 
 /// Tells which servers have an idle connection.
-pub trait Connected {
+pub trait IdleConnections {
     /// Returns whether there is an idle connection to this start of the server.
     fn has(&self, server: ServerKey) -> bool;
 }
 
 /// What the choice of a server depends on besides the servers' load.
 #[derive(Clone, Copy, Default)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// Parts of the prompt.
     pub parts: &'a [Part],
     /// The object that the request concerns.
@@ -25,7 +25,7 @@
     /// Servers that were tried and must not be tried again.
     pub tried: &'a [ServerKey],
     /// The gateway's idle connections, if it keeps any.
-    pub connected: Option<&'a dyn Connected>,
+    pub connected: Option<&'a dyn IdleConnections>,
     /// The gateway's data centre.
     pub centre: &'a str,
     /// A random number from 0 up to 1 that breaks ties.
--- a/lib/src/dispatch_queue.rs
+++ b/lib/src/dispatch_queue.rs
@@ -46,7 +46,7 @@
 
 /// A request for which no server has room.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Name of the workspace that sent the request; requests without a workspace
     /// share one queue.
     pub workspace: Option<Arc<str>>,
@@ -105,7 +105,7 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    waiting: Waiting,
+    waiting: QueuedRequest,
     position: Position,
     owner: T,
 }
@@ -134,7 +134,7 @@
 }
 
 impl Rank {
-    fn add(&mut self, waiting: &Waiting, position: Position) {
+    fn add(&mut self, waiting: &QueuedRequest, position: Position) {
         self.quantum = self.quantum.max(waiting.work);
         let name = &waiting.workspace;
         if !self.queues.contains_key(name) {
@@ -151,7 +151,7 @@
         self.ages.insert((waiting.since, position.2));
     }
 
-    fn remove(&mut self, waiting: &Waiting, position: &Position) {
+    fn remove(&mut self, waiting: &QueuedRequest, position: &Position) {
         self.ages.remove(&(waiting.since, position.2));
         let name = &waiting.workspace;
         let Some(queue) = self.queues.get_mut(name) else {
@@ -193,7 +193,7 @@
     }
 
     /// Returns how many requests of this rank would be served before a new one.
-    fn requests_ahead(&self, waiting: &Waiting) -> usize {
+    fn requests_ahead(&self, waiting: &QueuedRequest) -> usize {
         let own = self.queues.get(&waiting.workspace).map_or(0, |queue| {
             let positions = queue.positions.iter();
             positions
@@ -266,7 +266,7 @@
     pub fn push(
         &mut self,
         now: Time,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         rate: Option<f64>,
         owner: T,
     ) -> Result<Pushed<T>, QueueRefusal> {
@@ -315,7 +315,7 @@
 
     /// Returns how long a new request would wait; `None` if that is not known, or if
     /// no request is ahead of it.
-    fn expected_wait(&self, waiting: &Waiting, rate: Option<f64>) -> Option<Duration> {
+    fn expected_wait(&self, waiting: &QueuedRequest, rate: Option<f64>) -> Option<Duration> {
         let rate = rate?;
         let before = self.ranks.range(..waiting.rank);
         let before: usize = before.map(|(_, rank)| rank.ages.len()).sum();
@@ -327,8 +327,8 @@
         Some(duration_from_secs(ahead as f64 / rate))
     }
 
-    fn insert(&mut self, waiting: Waiting, owner: T) -> EntryKey {
-        let waiting = Waiting {
+    fn insert(&mut self, waiting: QueuedRequest, owner: T) -> EntryKey {
+        let waiting = QueuedRequest {
             work: waiting.work.max(MIN_WORK),
             ..waiting
         };
--- a/lib/src/effect.rs
+++ b/lib/src/effect.rs
@@ -15,14 +15,14 @@
 
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LogEvent {
     /// Name of the event.
     pub event: &'static str,
     /// Key-value pairs that describe it.
     pub pairs: Vec<(&'static str, String)>,
 }
 
-impl Note {
+impl LogEvent {
     /// Creates an event without pairs.
     pub fn new(event: &'static str) -> Self {
         Self {
@@ -75,7 +75,7 @@
     },
     /// Reads a shard block again, after a swap was rejected or its answer was
     /// lost.
-    Reread {
+    ReadBlock {
         /// Number of the block.
         block: u16,
     },
@@ -86,7 +86,7 @@
         /// The attempt.
         attempt: u64,
         /// The request to the backend server.
-        work: Work,
+        work: BackendRequest,
     },
     /// Closes the connection of a call to the backend server.
     Abort {
@@ -104,12 +104,12 @@
     /// are carried out: they acknowledge the change to other processes.
     Store(Box<CopyRecord>),
     /// Logs an event.
-    Note(Note),
+    Log(LogEvent),
 }
 
 /// A request to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Work {
+pub struct BackendRequest {
     /// The program.
     pub program: ProgramId,
     /// The model or service to use.
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -5,21 +5,21 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-use crate::callers::Front;
+use crate::callers::Callers;
 use crate::document::Documents;
 use crate::document::Update;
 use crate::effect::CallerKey;
 use crate::effect::Effect;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::id::Boot;
 use crate::id::DataCentre;
 use crate::id::NodeId;
 use crate::id::ShardId;
-use crate::member::Listed;
 use crate::member::Load;
 use crate::member::Members;
 use crate::member::Node;
-use crate::message::Beat;
+use crate::member::VmState;
+use crate::message::Heartbeat;
 use crate::message::Message;
 use crate::message::Request;
 use crate::owner::Context;
@@ -75,9 +75,9 @@
     /// The registry of processes was read.
     Registry(Vec<Node>),
     /// The VM list was read: the listed VMs and their states.
-    VmList(Vec<(String, Listed)>),
+    VmList(Vec<(String, VmState)>),
     /// The list of servers that operators are draining was read.
-    Drains(Vec<NodeId>),
+    DrainList(Vec<NodeId>),
     /// A shard block was read; revision zero means that it does not exist
     /// yet.
     Block {
@@ -119,7 +119,7 @@
     members: Members,
     map: ShardMap,
     documents: Documents,
-    front: Front,
+    front: Callers,
     owner: Owner,
     planner: Planner,
     /// Whether each block has been read; only then may it be swapped.
@@ -151,7 +151,7 @@
     pub fn new(node: NodeId, centre: DataCentre, boot: Boot, rules: Rules, seed: u64) -> Self {
         let map = ShardMap::new(rules.shards);
         Self {
-            front: Front::new(node.clone(), boot),
+            front: Callers::new(node.clone(), boot),
             owner: Owner::new(node.clone(), SmallRng::seed_from_u64(seed)),
             planner: Planner {
                 node: node.clone(),
@@ -186,7 +186,7 @@
     }
 
     /// Returns the waiting callers.
-    pub fn front(&self) -> &Front {
+    pub fn front(&self) -> &Callers {
         &self.front
     }
 
@@ -260,7 +260,7 @@
             }
             Event::Registry(nodes) => self.registry(now, &nodes),
             Event::VmList(list) => self.vm_list(&list),
-            Event::Drains(drains) => self.members.drained(&drains),
+            Event::DrainList(drains) => self.members.drained(&drains),
             Event::Block {
                 block,
                 revision,
@@ -285,7 +285,7 @@
                 // The swap may have taken effect all the same; reading the
                 // block shows it.
                 self.last_swaps.insert(block, now);
-                out.push(Effect::Reread { block });
+                out.push(Effect::ReadBlock { block });
             }
             Event::Document(text) => self.document(&text, out),
             Event::Tick => self.tick(now, out),
@@ -307,20 +307,20 @@
         }
     }
 
-    fn vm_list(&mut self, list: &[(String, Listed)]) {
-        let states: BTreeMap<&str, Listed> = list
+    fn vm_list(&mut self, list: &[(String, VmState)]) {
+        let states: BTreeMap<&str, VmState> = list
             .iter()
             .map(|(vm, state)| (vm.as_str(), *state))
             .collect();
         self.members
-            .listed(|vm| states.get(vm).copied().unwrap_or(Listed::Absent));
+            .listed(|vm| states.get(vm).copied().unwrap_or(VmState::Absent));
     }
 
     fn document(&mut self, text: &str, out: &mut Vec<Effect>) {
         match self.documents.update(text) {
             Update::Applied(version) => {
-                out.push(Effect::Note(
-                    Note::new("document_applied").with("version", version),
+                out.push(Effect::Log(
+                    LogEvent::new("document_applied").with("version", version),
                 ));
                 for member in self.members.iter() {
                     out.push(Effect::Send {
@@ -332,8 +332,8 @@
             Update::Stale => {}
             Update::Faulty(faults) => {
                 for fault in faults {
-                    out.push(Effect::Note(
-                        Note::new("document_faulty").with("fault", fault),
+                    out.push(Effect::Log(
+                        LogEvent::new("document_faulty").with("fault", fault),
                     ));
                 }
             }
@@ -393,7 +393,7 @@
         // If epochs were skipped, another process owned the shard meanwhile,
         // and the local state is stale; the keeper's copy is current.
         let is_next_epoch = held.is_some_and(|held| held.epoch.0 + 1 == epoch.0);
-        let whole = held.is_some_and(|held| held.phase == Phase::Whole);
+        let whole = held.is_some_and(|held| held.phase == Phase::Loaded);
         if is_next_epoch && old.owner == assignment.owner && (whole || lost) {
             self.owner.renew(&mut cx, shard, &assignment);
             return;
@@ -473,7 +473,13 @@
         }
     }
 
-    fn on_heartbeat(&mut self, now: Time, from: &NodeId, heartbeat: &Beat, out: &mut Vec<Effect>) {
+    fn on_heartbeat(
+        &mut self,
+        now: Time,
+        from: &NodeId,
+        heartbeat: &Heartbeat,
+        out: &mut Vec<Effect>,
+    ) {
         self.members
             .heard(now, from, heartbeat.load, heartbeat.leaving);
         for text in self.documents.newer_than(&heartbeat.versions) {
@@ -503,7 +509,7 @@
     }
 
     fn send_heartbeat(&self, to: &NodeId, out: &mut Vec<Effect>) {
-        let heartbeat = Beat {
+        let heartbeat = Heartbeat {
             versions: self.documents.versions(),
             blocks: (0..self.map.blocks())
                 .map(|b| self.map.revision(b))
@@ -552,7 +558,7 @@
                 // The answer was lost; reading the block shows whether the
                 // swap took effect.
                 self.pending_swaps.insert(block, now);
-                out.push(Effect::Reread { block });
+                out.push(Effect::ReadBlock { block });
                 return;
             }
             None => {}
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -11,22 +11,22 @@
 use crate::call::Part;
 use crate::candidate::Candidate;
 use crate::candidate::ServiceStats;
+use crate::criteria::Criteria;
 use crate::criteria::ServerKey;
-use crate::criteria::Wish;
 use crate::load_report::ServerStart;
 use crate::other_load::OtherLoad;
 use crate::outlier;
 use crate::pace::Baseline;
 use crate::pace::PaceChange;
 use crate::place::Place;
-use crate::request_rates::Counts;
+use crate::request_rates::RequestCounts;
 use crate::server::Load;
-use crate::server::Outcome;
 use crate::server::Server;
+use crate::server::ServerOutcome;
 use crate::server::ServerState;
+use crate::service_time::RequestConditions;
 use crate::service_time::ServiceTime;
 use crate::service_time::Span;
-use crate::service_time::Work;
 use crate::switches::Switches;
 use crate::time::Time;
 
@@ -69,7 +69,7 @@
 const MAX_EJECTED_SHARE: f64 = 0.34;
 /// How long entries that expired during a store outage are kept once the store
 /// is back: running servers register again within two seconds.
-pub const LAPSE_WAIT: Duration = Duration::from_secs(2);
+pub const REGISTER_GRACE: Duration = Duration::from_secs(2);
 
 /// Maximum number of new prompt parts kept for reports to other processes.
 const MAX_NEW_PARTS: usize = 1_024;
@@ -91,7 +91,7 @@
     starts: HashMap<ServerStart, ServerKey>,
     times: HashMap<Arc<str>, ServiceTime>,
     /// Requests of this process that ended, by service.
-    ended: HashMap<Arc<str>, Counts>,
+    ended: HashMap<Arc<str>, RequestCounts>,
     /// Prompt parts that servers had not cached before, newest last.
     new_parts: VecDeque<NewPart>,
     /// When reports of other processes about servers last arrived.
@@ -269,7 +269,7 @@
     /// queue, the requests it runs and the prompt tokens that it would have to
     /// prefill. Servers that have just failed are chosen only if there are no
     /// others.
-    pub fn pick(&self, now: Time, service: &str, wish: &Wish<'_>) -> Option<ServerKey> {
+    pub fn pick(&self, now: Time, service: &str, wish: &Criteria<'_>) -> Option<ServerKey> {
         let keys = self.services.get(service)?;
         let unknown = ServiceTime::default();
         let times = self.times.get(service).unwrap_or(&unknown);
@@ -312,10 +312,10 @@
 
     /// Records that a request of this process is sent to a server, and returns
     /// the conditions it meets there.
-    pub fn begin(&mut self, now: Time, key: ServerKey, wish: &Wish<'_>) -> Work {
+    pub fn begin(&mut self, now: Time, key: ServerKey, wish: &Criteria<'_>) -> RequestConditions {
         let reported_at = self.peer_report_at;
         let Some(member) = self.members.get_mut(key) else {
-            return Work::default();
+            return RequestConditions::default();
         };
         let times = self.times.get(&member.server.service);
         let mean = times.map_or(0.0, ServiceTime::load);
@@ -359,7 +359,13 @@
     }
 
     /// Updates the estimates with the time to a stream's first event.
-    pub fn first_event(&mut self, now: Time, key: ServerKey, work: &Work, took: Duration) {
+    pub fn first_event(
+        &mut self,
+        now: Time,
+        key: ServerKey,
+        work: &RequestConditions,
+        took: Duration,
+    ) {
         let span = Span::FirstEvent;
         let took = self.learn_pace(now, key, work, span, took);
         if let Some(times) = self.times_mut(key) {
@@ -373,7 +379,7 @@
         &mut self,
         now: Time,
         key: ServerKey,
-        work: &Work,
+        work: &RequestConditions,
         took: Duration,
         events: u64,
     ) {
@@ -389,7 +395,13 @@
     }
 
     /// Updates the estimates with the duration of a plain answer.
-    pub fn plain_end(&mut self, now: Time, key: ServerKey, work: &Work, took: Duration) {
+    pub fn plain_end(
+        &mut self,
+        now: Time,
+        key: ServerKey,
+        work: &RequestConditions,
+        took: Duration,
+    ) {
         let span = Span::Whole;
         let took = self.learn_pace(now, key, work, span, took);
         if let Some(times) = self.times_mut(key) {
@@ -432,7 +444,7 @@
     }
 
     /// Records the end of a request of this process.
-    pub fn end(&mut self, now: Time, key: ServerKey, outcome: Outcome) {
+    pub fn end(&mut self, now: Time, key: ServerKey, outcome: ServerOutcome) {
         let Some(member) = self.members.get_mut(key) else {
             return;
         };
@@ -442,8 +454,10 @@
         let service = member.server.service.clone();
         let counts = self.ended.entry(service).or_default();
         match outcome {
-            Outcome::Answered | Outcome::Failed => counts.ended = counts.ended.wrapping_add(1),
-            Outcome::Full => counts.shed = counts.shed.wrapping_add(1),
+            ServerOutcome::Answered | ServerOutcome::Failed => {
+                counts.ended = counts.ended.wrapping_add(1)
+            }
+            ServerOutcome::Full => counts.shed = counts.shed.wrapping_add(1),
             _ => {}
         }
     }
--- a/lib/src/fleet/paces.rs
+++ b/lib/src/fleet/paces.rs
@@ -11,8 +11,8 @@
 use crate::pace::Sample;
 use crate::pace::Wait;
 use crate::pace::WaitKey;
+use crate::service_time::RequestConditions;
 use crate::service_time::Span;
-use crate::service_time::Work;
 use crate::time::Time;
 
 /// Maximum share of a service's servers that may be late before overdue
@@ -52,7 +52,7 @@
         &mut self,
         now: Time,
         key: ServerKey,
-        work: &Work,
+        work: &RequestConditions,
         span: Span,
     ) -> Option<WaitKey> {
         let service = &self.members.get(key)?.server.service;
@@ -102,7 +102,7 @@
         &mut self,
         now: Time,
         key: ServerKey,
-        work: &Work,
+        work: &RequestConditions,
         span: Span,
         took: Duration,
     ) -> Duration {
--- a/lib/src/fleet/reports.rs
+++ b/lib/src/fleet/reports.rs
@@ -6,7 +6,7 @@
 use super::Fleet;
 use crate::load_estimator::OwnUse;
 use crate::load_map::MAX_SAMPLES;
-use crate::load_map::ServerServices;
+use crate::load_map::ServiceOfServer;
 use crate::load_report::ServerSample;
 use crate::load_report::ServerStart;
 use crate::place::Place;
@@ -90,7 +90,7 @@
     }
 }
 
-impl ServerServices for Fleet {
+impl ServiceOfServer for Fleet {
     fn service(&self, start: ServerStart) -> Option<&Arc<str>> {
         let &key = self.starts.get(&start)?;
         Some(&self.server(key)?.service)
--- a/lib/src/handoff.rs
+++ b/lib/src/handoff.rs
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::handoff_target::HopEnd;
+use crate::handoff_target::HopOutcome;
 use crate::handoff_target::Target;
 use crate::hash;
 use crate::load_report::GatewayState;
 use crate::time::Time;
 use crate::turn_cost::FORWARD_SHARE;
-use crate::turn_cost::Offer;
 use crate::turn_cost::Power;
+use crate::turn_cost::RequestSize;
 use crate::turn_cost::TurnCost;
 
 /// Minimum time that a handoff must save, in seconds.
@@ -98,7 +98,7 @@
 
     /// Returns whether handing the request over may save time, so that it is
     /// worth comparing other gateways.
-    pub fn may_gain(&self, own: OwnLoad, offer: Offer) -> bool {
+    pub fn may_gain(&self, own: OwnLoad, offer: RequestSize) -> bool {
         !offer.handed && self.local_time(own, offer) > MIN_GAIN
     }
 
@@ -108,7 +108,7 @@
         &mut self,
         now: Time,
         own: OwnLoad,
-        offer: Offer,
+        offer: RequestSize,
         gateways: &'a [GatewayState],
         draws: [f64; 2],
     ) -> Option<&'a GatewayState> {
@@ -130,7 +130,7 @@
     }
 
     /// Records how a request ended at a target.
-    pub fn end(&mut self, now: Time, node: &str, end: HopEnd) {
+    pub fn end(&mut self, now: Time, node: &str, end: HopOutcome) {
         if let Some(target) = self.targets.get_mut(node) {
             target.end(now, end);
         }
@@ -163,7 +163,12 @@
 
     /// Updates whether the data centre is overloaded, from the total load of its
     /// gateways.
-    fn update_centre_overload(&mut self, own: OwnLoad, offer: Offer, gateways: &[GatewayState]) {
+    fn update_centre_overload(
+        &mut self,
+        own: OwnLoad,
+        offer: RequestSize,
+        gateways: &[GatewayState],
+    ) {
         let rate = 1.0 / self.cost.serve_time(offer, self.own.power);
         let (mut rates, mut requests) = (rate, f64::from(own.requests));
         let mut late = own.late.as_secs_f64() * rate;
@@ -212,7 +217,7 @@
         list
     }
 
-    fn local_time(&self, own: OwnLoad, offer: Offer) -> f64 {
+    fn local_time(&self, own: OwnLoad, offer: RequestSize) -> f64 {
         let work = self.cost.serve_time(offer, self.own.power);
         let utilization = self.utilization(own.requests, work);
         own.late.as_secs_f64() + time_under_load(work, utilization)
@@ -224,7 +229,12 @@
         f64::from(requests) * work / self.cost.stay()
     }
 
-    fn choice<'a>(&self, now: Time, offer: Offer, state: &'a GatewayState) -> Option<Choice<'a>> {
+    fn choice<'a>(
+        &self,
+        now: Time,
+        offer: RequestSize,
+        state: &'a GatewayState,
+    ) -> Option<Choice<'a>> {
         let target = self.targets.get(&state.node)?;
         if target.is_paused(now) {
             return None;
@@ -247,7 +257,7 @@
         &self,
         now: Time,
         own: OwnLoad,
-        offer: Offer,
+        offer: RequestSize,
         gateways: Vec<&'a GatewayState>,
         draws: [f64; 2],
     ) -> Option<&'a GatewayState> {
--- a/lib/src/handoff_target.rs
+++ b/lib/src/handoff_target.rs
@@ -21,7 +21,7 @@
 
 /// How a request that was handed over ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HopEnd {
+pub enum HopOutcome {
     /// The answer arrived.
     Answered {
         /// Time on the way there and back, without the time of the target and the
@@ -71,13 +71,13 @@
     }
 
     /// Records how a request ended there.
-    pub(crate) fn end(&mut self, now: Time, end: HopEnd) {
+    pub(crate) fn end(&mut self, now: Time, end: HopOutcome) {
         match end {
-            HopEnd::Answered { hop, late } if hop < LATE_HOP + late * 2 => {
+            HopOutcome::Answered { hop, late } if hop < LATE_HOP + late * 2 => {
                 self.failures = 0;
                 self.paused_until = None;
             }
-            HopEnd::Answered { .. } | HopEnd::Full | HopEnd::Failed => self.pause(now),
+            HopOutcome::Answered { .. } | HopOutcome::Full | HopOutcome::Failed => self.pause(now),
         }
     }
 
--- a/lib/src/keeper_protocol.rs
+++ b/lib/src/keeper_protocol.rs
@@ -6,11 +6,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::allowance::Use;
-use crate::allowance::UseReply;
+use crate::allowance::UsageReply;
+use crate::allowance::UsageReport;
 use crate::ledger::Begin;
+use crate::ledger::ChainLink;
 use crate::ledger::Finish;
-use crate::ledger::Link;
 use crate::ledger::Presence;
 use crate::ledger::ProgramDigest;
 use crate::ledger::Record;
@@ -19,11 +19,11 @@
 use crate::membership::ListRequest;
 use crate::membership::Membership;
 use crate::place::Place;
-use crate::turn_admission::View;
+use crate::turn_admission::ReplicaView;
 
 /// Matches replies to requests on one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ticket(pub u64);
+pub struct RequestId(pub u64);
 
 /// A key-value pair of the platform's store, as last read by one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
 
 /// A request to a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum KeeperRequest {
     /// Record the start of a turn on disk, and return the view of its program.
     Note {
         /// The turn.
@@ -117,12 +117,12 @@
     List(ListRequest),
     /// Count the requests that a gateway sent for workspaces, and decide whether it
     /// may send more.
-    Spend(Vec<Use>),
+    Spend(Vec<UsageReport>),
     /// Store a gateway's load report, and return the reports of other gateways.
     Load(LoadReport),
 }
 
-impl Question {
+impl KeeperRequest {
     /// Returns the label of the request in metrics.
     pub fn label(&self) -> &'static str {
         match self {
@@ -142,18 +142,18 @@
 
 /// A reply of a keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum KeeperReply {
     /// The start of the turn is recorded.
     Noted {
         /// The view of the program.
-        view: View,
+        view: ReplicaView,
         /// The chain before the turn, the latest first, if it was requested.
-        chain: Vec<Link>,
+        chain: Vec<ChainLink>,
         /// Servers that cache the program's prompts, the latest last.
         places: Vec<Place>,
     },
     /// The current view of the program.
-    Seen(View),
+    Seen(ReplicaView),
     /// The requested write is on disk.
     Synced,
     /// A chain, the latest turn first.
@@ -161,7 +161,7 @@
         /// Whether the keeper stores the turn.
         presence: Presence,
         /// The turn and its predecessors.
-        links: Vec<Link>,
+        links: Vec<ChainLink>,
     },
     /// Digests, for a keeper that is catching up.
     Digests {
@@ -205,7 +205,7 @@
     /// The keeper cannot serve the request now.
     Failed(String),
     /// Results for the workspaces, in the order of the request.
-    Spent(Vec<UseReply>),
+    Spent(Vec<UsageReply>),
     /// Load reported by other gateways.
     Loads(LoadSummary),
 }
@@ -214,7 +214,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeeperMessage {
     /// A request.
-    Ask(Ticket, Question),
+    Ask(RequestId, KeeperRequest),
     /// A reply; a request may get two.
-    Tell(Ticket, Reply),
+    Tell(RequestId, KeeperReply),
 }
--- a/lib/src/ledger.rs
+++ b/lib/src/ledger.rs
@@ -75,7 +75,7 @@
 
 /// Tokens that one turn charges to its program's budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct TurnUsage {
     /// Id of the turn.
     pub turn: Arc<str>,
     /// Tokens that it used, or the maximum while it has not ended.
@@ -86,7 +86,7 @@
 
 /// One turn of a chain, in the form that is sent to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Link {
+pub struct ChainLink {
     /// Id of the turn.
     pub turn: Arc<str>,
     /// The previous turn of the chain.
@@ -131,10 +131,10 @@
         self.finish.as_ref().map_or(most, |finish| finish.used)
     }
 
-    fn link(&self) -> Option<Link> {
+    fn link(&self) -> Option<ChainLink> {
         let begin = self.begin.as_ref()?;
         let finish = self.finish.as_ref().filter(|finish| finish.whole)?;
-        Some(Link {
+        Some(ChainLink {
             turn: begin.turn.clone(),
             previous: begin.previous.clone(),
             text: [&begin.input[..], &finish.output[..]].concat().into(),
@@ -195,7 +195,7 @@
 
     /// Returns the tokens that each turn of a program charges to its budget,
     /// except those of the turn `excluded`.
-    pub fn shares(&self, program: &str, excluded: &str) -> Vec<Share> {
+    pub fn shares(&self, program: &str, excluded: &str) -> Vec<TurnUsage> {
         let Some(program) = self.programs.get(program) else {
             return Vec::new();
         };
@@ -203,7 +203,7 @@
         others
             .map(|id| {
                 let turn = &self.turns[id];
-                Share {
+                TurnUsage {
                     turn: id.clone(),
                     tokens: turn.tokens(),
                     ended: turn.finish.is_some(),
@@ -228,7 +228,7 @@
 
     /// Returns a turn and its predecessors, the latest first. The chain ends
     /// before the first turn that is not stored or for which `known` is true.
-    pub fn chain(&self, turn: &str, known: impl Fn(&str) -> bool) -> Vec<Link> {
+    pub fn chain(&self, turn: &str, known: impl Fn(&str) -> bool) -> Vec<ChainLink> {
         let mut links = Vec::new();
         let mut next = Some(Arc::<str>::from(turn));
         while let Some(id) = next.take_if(|id| !known(id)) {
--- a/lib/src/load_estimator.rs
+++ b/lib/src/load_estimator.rs
@@ -12,7 +12,7 @@
 use crate::load_report::ServiceLoad;
 use crate::load_report::ServiceLoads;
 use crate::load_report::ServiceUse;
-use crate::request_rates::Counts;
+use crate::request_rates::RequestCounts;
 use crate::request_rates::RequestRates;
 use crate::time::Time;
 
@@ -38,13 +38,13 @@
     /// Number of requests that the service's servers run at once.
     pub slots: u32,
     /// Requests of this process.
-    pub counts: Counts,
+    pub counts: RequestCounts,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnLoad {
     slots: u32,
-    counts: Counts,
+    counts: RequestCounts,
     rates: RequestRates,
 }
 
@@ -57,7 +57,7 @@
 
 /// Known load of the services.
 #[derive(Clone, Debug, Default)]
-pub struct KnownLoads {
+pub struct LoadEstimator {
     own: BTreeMap<Arc<str>, OwnLoad>,
     own_at: Time,
     queued: HashMap<Arc<str>, u32>,
@@ -65,7 +65,7 @@
     answers: HashMap<Arc<str>, Answer>,
 }
 
-impl KnownLoads {
+impl LoadEstimator {
     /// Updates the requests of this process at the services.
     pub fn set_own(&mut self, now: Time, uses: impl IntoIterator<Item = OwnUse>) {
         let gap = now.since(std::mem::replace(&mut self.own_at, now));
@@ -190,7 +190,7 @@
     }
 }
 
-impl ServiceLoads for KnownLoads {
+impl ServiceLoads for LoadEstimator {
     fn estimate(&self, now: Time, service: &str) -> Option<ServiceEstimate> {
         let own = self.own.get(service)?;
         let answer = self.latest(now)?;
--- a/lib/src/load_map.rs
+++ b/lib/src/load_map.rs
@@ -21,7 +21,7 @@
 use crate::load_report::ServiceLoad;
 use crate::load_report::ServiceUse;
 use crate::place_log::PlaceLog;
-use crate::request_rates::Counts;
+use crate::request_rates::RequestCounts;
 use crate::request_rates::RequestRates;
 use crate::server::Load;
 use crate::time::Time;
@@ -52,7 +52,7 @@
 const MAX_UTILIZATION: f64 = 8.0;
 
 /// Maps servers to services.
-pub trait ServerServices {
+pub trait ServiceOfServer {
     /// Returns the service of a server; `None` if the server is not known.
     fn service(&self, start: ServerStart) -> Option<&Arc<str>>;
 }
@@ -60,7 +60,7 @@
 /// A gateway's use of one service, by its latest report.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedUse {
-    counts: Counts,
+    counts: RequestCounts,
     queued: u32,
     rates: RequestRates,
 }
@@ -163,7 +163,7 @@
         now: Time,
         sender: &ProcessStart,
         report: &LoadReport,
-        servers: &dyn ServerServices,
+        servers: &dyn ServiceOfServer,
     ) -> LoadSummary {
         self.expire(now);
         self.serial += 1;
@@ -229,7 +229,7 @@
         now: Time,
         by: &Arc<str>,
         sample: &ServerSample,
-        servers: &dyn ServerServices,
+        servers: &dyn ServiceOfServer,
     ) {
         let age = Duration::from_millis(u64::from(sample.age_ms));
         let Some(service) = servers
@@ -368,7 +368,7 @@
 
 /// Returns a gateway's use of a service after a new report.
 fn updated_use(now: Time, earlier: Option<&Reporter>, reported: &ServiceUse) -> ReportedUse {
-    let counts = Counts {
+    let counts = RequestCounts {
         running: reported.running,
         ended: reported.ended,
         shed: reported.shed,
--- a/lib/src/load_shed.rs
+++ b/lib/src/load_shed.rs
@@ -33,7 +33,7 @@
 
 /// The programs that a gateway has begun, and how late the gateway is.
 #[derive(Clone, Debug, Default)]
-pub struct LoadShed {
+pub struct LoadShedder {
     late: f64,
     answers: f64,
     behind: bool,
@@ -41,7 +41,7 @@
     previous: HashSet<Arc<str>>,
 }
 
-impl LoadShed {
+impl LoadShedder {
     /// Adds a sample of the lateness of a timer.
     pub fn observe(&mut self, late: Duration) {
         self.late += (late.as_secs_f64() - self.late) * EWMA_WEIGHT;
--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -49,7 +49,7 @@
 /// State of a VM in the VM list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Listed {
+pub enum VmState {
     /// In operation.
     Live,
     /// About to be removed.
@@ -84,7 +84,7 @@
     /// Its registration.
     pub node: Node,
     link: Link,
-    listed: Listed,
+    listed: VmState,
     leaving: bool,
     drained: bool,
     losses: u32,
@@ -115,7 +115,7 @@
     /// Returns whether it announced that it leaves, an operator drains it, or its VM
     /// is about to be removed.
     pub fn is_leaving(&self) -> bool {
-        self.leaving || self.drained || self.listed == Listed::Leaving
+        self.leaving || self.drained || self.listed == VmState::Leaving
     }
 
     /// Returns the time since the link was lost; zero while there is one.
@@ -164,7 +164,7 @@
         let new_member = || Member {
             node: node.clone(),
             link: unregistered.unwrap_or(Link::Down { since: now }),
-            listed: Listed::Absent,
+            listed: VmState::Absent,
             leaving: false,
             drained: false,
             losses: 0,
@@ -220,7 +220,7 @@
     }
 
     /// Applies the VM list; `state` returns the state of a VM by its name.
-    pub fn listed(&mut self, state: impl Fn(&str) -> Listed) {
+    pub fn listed(&mut self, state: impl Fn(&str) -> VmState) {
         for member in self.known.values_mut() {
             member.listed = state(&member.node.vm);
         }
@@ -276,7 +276,7 @@
             return false;
         }
         let role = member.node.role;
-        let listed = |member: &Member| member.listed == Listed::Leaving;
+        let listed = |member: &Member| member.listed == VmState::Leaving;
         let unstable = |member: &Member| !member.is_stable(now);
         let out = listed(member) && self.is_at_most_half(role, listed)
             || unstable(member) && self.is_at_most_half(role, unstable);
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -21,7 +21,7 @@
 /// Role of a keeper in a change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum MemberState {
     /// In the list before and after the change.
     Member,
     /// Added by the change.
@@ -38,7 +38,7 @@
     /// Address for the system's other processes.
     pub address: SocketAddr,
     /// Role in the current change of the list.
-    pub standing: Standing,
+    pub standing: MemberState,
     /// Whether it has copied all turns that it has to store by the list after the
     /// change.
     pub ready: bool,
@@ -105,7 +105,7 @@
     /// Returns whether a change of the list is in progress.
     pub fn is_changing(&self) -> bool {
         let mut keepers = self.keepers.iter();
-        keepers.any(|keeper| keeper.standing != Standing::Member)
+        keepers.any(|keeper| keeper.standing != MemberState::Member)
     }
 
     /// Returns how many other keepers may be missing while `node` copies what it
@@ -114,7 +114,7 @@
     /// acknowledgement may have been part of a turn's majority.
     pub fn may_miss(&self, node: &str, lost_data: bool, faults: usize) -> usize {
         let before = self.keepers.iter();
-        let before = before.filter(|keeper| keeper.standing != Standing::Joining);
+        let before = before.filter(|keeper| keeper.standing != MemberState::Joining);
         let set = before.count().min(2 * faults + 1);
         let majority = set / 2 + 1;
         let own = lost_data && self.place(node).is_some();
@@ -182,7 +182,7 @@
     pub fn denies(&self, never: &HashSet<Arc<str>>, faults: usize) -> bool {
         let members = || {
             let keepers = self.keepers.iter();
-            keepers.filter(|keeper| keeper.standing != Standing::Joining)
+            keepers.filter(|keeper| keeper.standing != MemberState::Joining)
         };
         let votes = members().filter(|keeper| never.contains(&keeper.node));
         let count = members().count();
@@ -212,7 +212,7 @@
     /// Returns the keepers that are not leaving.
     pub fn staying(&self) -> impl Iterator<Item = &Keeper> {
         let keepers = self.keepers.iter();
-        keepers.filter(|keeper| keeper.standing != Standing::Leaving)
+        keepers.filter(|keeper| keeper.standing != MemberState::Leaving)
     }
 
     /// Returns the list with all requested changes applied; `None` if none of them
@@ -243,13 +243,13 @@
         let mut ranked: Vec<usize> = (0..self.keepers.len()).collect();
         ranked.sort_by_key(|&at| std::cmp::Reverse(weight(&self.keepers[at].node, program)));
         let count = 2 * faults + 1;
-        let set = |without: Standing| -> Vec<usize> {
+        let set = |without: MemberState| -> Vec<usize> {
             let in_list = ranked.iter().copied();
             let in_list = in_list.filter(|&at| self.keepers[at].standing != without);
             in_list.take(count).collect()
         };
-        let before = set(Standing::Joining);
-        let after = set(Standing::Leaving);
+        let before = set(MemberState::Joining);
+        let after = set(MemberState::Leaving);
         let keepers = ranked
             .iter()
             .copied()
@@ -279,9 +279,9 @@
             node: node.into(),
             address,
             standing: if self.open {
-                Standing::Joining
+                MemberState::Joining
             } else {
-                Standing::Member
+                MemberState::Member
             },
             ready: !self.open,
         });
@@ -306,11 +306,11 @@
         let mut next = self.renew();
         next.moved = next.epoch;
         match self.keepers[at].standing {
-            Standing::Leaving => return None,
-            Standing::Joining => {
+            MemberState::Leaving => return None,
+            MemberState::Joining => {
                 next.keepers.remove(at);
             }
-            Standing::Member => next.keepers[at].standing = Standing::Leaving,
+            MemberState::Member => next.keepers[at].standing = MemberState::Leaving,
         }
         // The remaining keepers may be assigned programs that they did not store
         // before.
@@ -330,11 +330,11 @@
         let mut next = self.renew();
         next.keepers[at].ready = true;
         let mut after = next.keepers.iter();
-        if after.all(|keeper| keeper.ready || keeper.standing == Standing::Leaving) {
+        if after.all(|keeper| keeper.ready || keeper.standing == MemberState::Leaving) {
             next.keepers
-                .retain(|keeper| keeper.standing != Standing::Leaving);
+                .retain(|keeper| keeper.standing != MemberState::Leaving);
             for keeper in &mut next.keepers {
-                keeper.standing = Standing::Member;
+                keeper.standing = MemberState::Member;
             }
         }
         Some(next)
--- a/lib/src/message.rs
+++ b/lib/src/message.rs
@@ -49,7 +49,7 @@
     /// Ends a program.
     End(ProgramRequest),
     /// Sets the outcome of a call of unknown outcome, by an operator's decision.
-    Judge(Judgement),
+    Judge(OutcomeDecision),
 }
 
 impl Request {
@@ -105,7 +105,7 @@
 
 /// An operator's decision on a call of unknown outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Judgement {
+pub struct OutcomeDecision {
     /// The call's program.
     pub program: ProgramId,
     /// The operator who decided.
@@ -137,7 +137,7 @@
 
 /// The end of an answered call, sent after the bytes of its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ending {
+pub struct AnswerEnd {
     /// The call.
     pub call: CallId,
     /// Its number in the program.
@@ -158,7 +158,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The call was answered.
-    Ended(Ending),
+    Ended(AnswerEnd),
     /// The request was refused or has failed.
     Refused(Refusal),
     /// The program that was opened, read or ended.
@@ -202,7 +202,7 @@
 
 /// Why a keeper rejected a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum KeepFault {
+pub enum ChangeRejection {
     /// A higher epoch is known.
     Fenced,
     /// The keeper lacks an earlier change.
@@ -247,7 +247,7 @@
 
 /// Why a side process rejected an order. The call has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderFault {
+pub enum OrderRejection {
     /// A higher epoch of the shard is known, or the attempt was sealed.
     Fenced,
     /// The order was for an earlier boot of the side process.
@@ -264,7 +264,7 @@
 
 /// Status of an attempt that has not ended, as its side process reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum AttemptStatus {
     /// It is queued or running; its answer and its end will follow.
     Open,
     /// It did not run, and an order for it is not accepted any more.
@@ -276,7 +276,7 @@
 
 /// Heartbeat, which each process sends to its peers every second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Versions of the documents in force.
     pub versions: Vec<(Operator, Version)>,
     /// Revisions of the known shard blocks.
@@ -291,7 +291,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Heartbeat, with the sender's state and its versions of shared data.
-    Beat(Beat),
+    Beat(Heartbeat),
     /// JSON text of an envelope that the receiver lacks.
     Document(String),
     /// A shard block that the receiver lacks.
@@ -392,7 +392,7 @@
         /// The epoch of what it rejects.
         epoch: Epoch,
         /// Why.
-        fault: KeepFault,
+        fault: ChangeRejection,
     },
     /// An order to run a call at a backend server.
     Order(Box<Order>),
@@ -403,7 +403,7 @@
         /// The attempt.
         attempt: u64,
         /// Why.
-        fault: OrderFault,
+        fault: OrderRejection,
     },
     /// Part of an answer, sent to the owner.
     OrderChunk {
@@ -444,7 +444,7 @@
         /// The attempt.
         attempt: u64,
         /// The status.
-        standing: Standing,
+        standing: AttemptStatus,
     },
     /// Cancels an attempt, if it has not ended.
     Cancel {
--- a/lib/src/orders.rs
+++ b/lib/src/orders.rs
@@ -8,13 +8,13 @@
 use crate::id::NodeId;
 use crate::id::ProgramId;
 use crate::id::ShardId;
+use crate::message::AttemptStatus;
 use crate::message::Message;
 use crate::message::Order;
-use crate::message::OrderFault;
-use crate::message::Standing;
+use crate::message::OrderRejection;
 use crate::outcome::Outcome;
 use crate::queue::LeastAttained;
-use crate::queue::Ordering;
+use crate::queue::RankPolicy;
 use crate::queue::Waiting;
 use crate::side::AttemptKey;
 use crate::side::AttemptRecord;
@@ -47,16 +47,16 @@
         let key = (order.call, order.attempt);
         let accepted = self.accept_epoch(order.shard);
         let fault = if order.boot != self.boot {
-            Some(OrderFault::OtherBoot)
+            Some(OrderRejection::OtherBoot)
         } else if !accepted {
-            Some(OrderFault::Fenced)
+            Some(OrderRejection::Fenced)
         } else if self.records.contains_key(&key) {
             self.report_attempt(from, key, out);
             return;
         } else if self.leaving {
-            Some(OrderFault::Leaving)
+            Some(OrderRejection::Leaving)
         } else if self.queue.len() >= MAX_QUEUE || self.records.len() >= MAX_RECORDS {
-            Some(OrderFault::Full)
+            Some(OrderRejection::Full)
         } else {
             None
         };
@@ -112,8 +112,8 @@
                 send(from, message, out);
                 return;
             }
-            AttemptState::Sealed => Standing::Sealed,
-            AttemptState::Queued { .. } | AttemptState::Running { .. } => Standing::Open,
+            AttemptState::Sealed => AttemptStatus::Sealed,
+            AttemptState::Queued { .. } | AttemptState::Running { .. } => AttemptStatus::Open,
         };
         send(
             from,
@@ -151,7 +151,7 @@
         }
         let (call, attempt) = key;
         if boot != self.boot {
-            let standing = Standing::OtherBoot;
+            let standing = AttemptStatus::OtherBoot;
             let message = Message::Settled {
                 call,
                 attempt,
@@ -199,7 +199,7 @@
                 let owner = record.owner.clone();
                 self.tokens = self.tokens.saturating_sub(record.tokens);
                 self.queue.remove(key);
-                refuse_order(&owner, key, OrderFault::Late, out);
+                refuse_order(&owner, key, OrderRejection::Late, out);
             }
             AttemptState::Running { .. } => {
                 let code = if record.idempotent {
--- a/lib/src/overload.rs
+++ b/lib/src/overload.rs
@@ -18,7 +18,7 @@
 use crate::fair_refusal::Arrivals;
 use crate::load_report::ServiceEstimate;
 use crate::load_shed;
-use crate::load_shed::LoadShed;
+use crate::load_shed::LoadShedder;
 use crate::time::Time;
 
 /// Largest share of their time that programs may lose at full load. A caller that
@@ -72,7 +72,7 @@
 
 /// Congestion of a service: what its load costs a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Strain {
+pub struct Congestion {
     /// How much longer a request takes now than at idle servers.
     pub delay: Duration,
     /// Ratio of requests to slots; above one if some requests wait.
@@ -81,7 +81,7 @@
     pub drain: Duration,
 }
 
-impl Strain {
+impl Congestion {
     /// Computes the strain of a service. `slowdown` is how much longer than idle
     /// servers its servers take for a request, not counting the wait for a slot.
     pub fn new(estimate: &ServiceEstimate, slowdown: Duration) -> Self {
@@ -101,7 +101,7 @@
 
 /// A turn of a program.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival<'a> {
+pub struct TurnArrival<'a> {
     /// The turn's program.
     pub program: &'a Arc<str>,
     /// Whether the turn names no previous turn.
@@ -123,7 +123,7 @@
 
 /// Why a program is not admitted, and after which time its caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ProgramRefusal {
     /// This gateway is late with its work; another gateway may not be.
     Gateway(Duration),
     /// The service has more work than the programs' time limits allow.
@@ -146,7 +146,7 @@
     /// When the counts were last decayed.
     decayed_at: Time,
     arrivals: Arrivals,
-    strain: Option<Strain>,
+    strain: Option<Congestion>,
     /// Share of new programs that is refused.
     refused_share: f64,
     overloaded: bool,
@@ -204,7 +204,7 @@
         (1.0 - (begin + SMOOTHING_COUNT) / (self.offered + SMOOTHING_COUNT)).clamp(0.0, 1.0)
     }
 
-    fn observe(&mut self, now: Time, strain: Option<Strain>) {
+    fn observe(&mut self, now: Time, strain: Option<Congestion>) {
         self.decay(now);
         let passed = now.since(self.observed_at).min(MAX_AGE).as_secs_f64();
         self.observed_at = now;
@@ -232,7 +232,7 @@
 
     /// Counts a program that asks to begin, and returns the refused share of its
     /// class.
-    fn count_offered(&mut self, now: Time, arrival: &Arrival<'_>) -> f64 {
+    fn count_offered(&mut self, now: Time, arrival: &TurnArrival<'_>) -> f64 {
         self.offered += 1.0;
         let class = self.arrivals.count(now, arrival.rank, arrival.workspace);
         self.arrivals
@@ -253,7 +253,7 @@
 
     /// Returns after which time a refused caller should retry: when the service has
     /// completed its excess work.
-    fn retry_after(&self, arrival: &Arrival<'_>, draw: f64) -> Duration {
+    fn retry_after(&self, arrival: &TurnArrival<'_>, draw: f64) -> Duration {
         let drain = self.strain.map_or(Duration::ZERO, |strain| strain.drain);
         let excess = drain
             .mul_f64(self.refused_share)
@@ -280,11 +280,11 @@
 
 /// Admission control of programs by the load of services.
 #[derive(Clone, Debug, Default)]
-pub struct Overload {
+pub struct OverloadControl {
     services: HashMap<Arc<str>, ServiceState>,
 }
 
-impl Overload {
+impl OverloadControl {
     /// Returns the services for which turns arrived recently.
     pub fn services(&self) -> impl Iterator<Item = &Arc<str>> {
         self.services.keys()
@@ -303,7 +303,7 @@
         &mut self,
         now: Time,
         service: &str,
-        strain: Option<Strain>,
+        strain: Option<Congestion>,
     ) -> Option<(OverloadState, bool)> {
         let state = self.services.get_mut(service)?;
         let before = state.overloaded;
@@ -323,14 +323,14 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Refused`] for a program that has not begun.
+    /// Returns a [`ProgramRefusal`] for a program that has not begun.
     pub fn admit(
         &mut self,
         now: Time,
-        shed: &mut LoadShed,
-        arrival: &Arrival<'_>,
+        shed: &mut LoadShedder,
+        arrival: &TurnArrival<'_>,
         draw: f64,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), ProgramRefusal> {
         let state = self.service(now, arrival.service);
         let begins = arrival.first && !shed.has_begun(arrival.program);
         let loaded = if begins && arrival.linked {
@@ -341,9 +341,9 @@
         let late = if begins { shed.refused_share() } else { 0.0 };
         if draw < loaded.max(late) {
             return Err(if loaded >= late {
-                Refused::Service(state.retry_after(arrival, draw / loaded))
+                ProgramRefusal::Service(state.retry_after(arrival, draw / loaded))
             } else {
-                Refused::Gateway(load_shed::RETRY_AFTER)
+                ProgramRefusal::Gateway(load_shed::RETRY_AFTER)
             });
         }
         shed.note_begun(arrival.program);
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -15,7 +15,7 @@
 use crate::code::Code;
 use crate::document::Documents;
 use crate::effect::Effect;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::history::Turn;
 use crate::id::Boot;
 use crate::id::CallId;
@@ -28,8 +28,8 @@
 use crate::id::ProgramId;
 use crate::id::ShardId;
 use crate::member::Members;
+use crate::message::AnswerEnd;
 use crate::message::Change;
-use crate::message::Ending;
 use crate::message::Message;
 use crate::message::ProgramView;
 use crate::message::Reply;
@@ -42,9 +42,9 @@
 use crate::placement::MAX_FULL_SCAN;
 use crate::program::CallRecord;
 use crate::program::CallRequest;
+use crate::program::HistoryMode;
 use crate::program::ProgramCopy;
 use crate::program::ProgramHead;
-use crate::program::Supply;
 use crate::program::Target;
 use crate::rules::Rules;
 use crate::shard_map::Assignment;
@@ -57,7 +57,7 @@
 
 /// Limit of unacknowledged changes per shard. Beyond it they are dropped and
 /// the keeper gets a full copy instead.
-pub(crate) const MAX_UNKEPT: usize = 10_000;
+pub(crate) const MAX_UNACKED: usize = 10_000;
 
 /// What [`Owner`] and [`crate::callers::Front`] read besides their own state,
 /// and the list that their effects are appended to.
@@ -79,8 +79,8 @@
         });
     }
 
-    pub(crate) fn note(&mut self, note: Note) {
-        self.out.push(Effect::Note(note));
+    pub(crate) fn note(&mut self, note: LogEvent) {
+        self.out.push(Effect::Log(note));
     }
 }
 
@@ -90,13 +90,13 @@
     /// Waits for the keeper's copy.
     Adopting,
     /// All programs of the shard are loaded.
-    Whole,
+    Loaded,
 }
 
 /// A submission that waits for the result of a call: the entry that sent it,
 /// and its ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Watcher {
+pub(crate) struct Subscriber {
     pub node: NodeId,
     pub ticket: Ticket,
 }
@@ -105,7 +105,7 @@
 /// complete.
 #[derive(Clone, Debug)]
 pub(crate) struct ParkedRequest {
-    pub(crate) watcher: Watcher,
+    pub(crate) watcher: Subscriber,
     pub(crate) request: Request,
     pub(crate) offset: u64,
 }
@@ -121,16 +121,16 @@
 
 /// An action that is deferred until the keeper has acknowledged a change.
 #[derive(Clone, Debug)]
-pub(crate) enum Step {
+pub(crate) enum DeferredAction {
     Dispatch(CallId),
     Finish(CallId),
-    Refuse(Watcher, Refusal),
-    Answer(Watcher, ProgramId, Part),
+    Refuse(Subscriber, Refusal),
+    Answer(Subscriber, ProgramId, Part),
 }
 
 /// A shard that this process owns.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct OwnedShard {
     pub epoch: Epoch,
     pub keeper: Option<NodeId>,
     /// Epoch in which the keeper was chosen.
@@ -145,7 +145,7 @@
     pub(crate) seq: u64,
     /// Changes that the keeper has not acknowledged, by sequence number.
     pub(crate) unkept: VecDeque<(u64, Change)>,
-    pub(crate) steps: VecDeque<(u64, Step)>,
+    pub(crate) steps: VecDeque<(u64, DeferredAction)>,
     pub(crate) parked: Vec<ParkedRequest>,
     /// The part of the keeper's copy that has arrived so far.
     pub(crate) incoming: BTreeMap<ProgramId, ProgramCopy>,
@@ -156,7 +156,7 @@
     pub(crate) waiting: Option<Time>,
 }
 
-impl Held {
+impl OwnedShard {
     pub(crate) fn new(now: Time, assignment: &Assignment, phase: Phase) -> Self {
         Self {
             epoch: assignment.epoch,
@@ -178,13 +178,13 @@
 
     /// Returns whether the keeper has acknowledged all changes.
     fn is_replicated(&self) -> bool {
-        let loaded = self.phase == Phase::Whole && self.keeper.is_some();
+        let loaded = self.phase == Phase::Loaded && self.keeper.is_some();
         loaded && !self.gap && self.unkept.is_empty()
     }
 
     /// Returns whether the wait for an acknowledgement has exceeded its limit.
     pub(crate) fn is_stuck(&self, cx: &Context<'_>) -> bool {
-        self.phase == Phase::Whole && self.unkept_for(cx.now) >= cx.rules.alone_wait()
+        self.phase == Phase::Loaded && self.unkept_for(cx.now) >= cx.rules.alone_wait()
     }
 
     /// Returns how long the wait for the next acknowledgement has lasted; zero
@@ -224,7 +224,7 @@
         since: Time,
     },
     /// Waits for the keeper to acknowledge the outcome.
-    Recording { outcome: Outcome },
+    PersistingOutcome { outcome: Outcome },
 }
 
 #[derive(Debug)]
@@ -236,7 +236,7 @@
     pub(crate) program: ProgramId,
     pub(crate) record: CallRecord,
     pub(crate) state: State,
-    pub(crate) watchers: Vec<Watcher>,
+    pub(crate) watchers: Vec<Subscriber>,
     pub(crate) bytes: Vec<u8>,
     pub(crate) deadline: Time,
     /// Servers that refused the call.
@@ -254,7 +254,7 @@
 pub struct Owner {
     pub(crate) node: NodeId,
     pub(crate) rng: SmallRng,
-    pub(crate) shards: BTreeMap<ShardId, Held>,
+    pub(crate) shards: BTreeMap<ShardId, OwnedShard>,
     pub(crate) programs: BTreeMap<ProgramId, Program>,
     pub(crate) calls: BTreeMap<CallId, Call>,
     pub(crate) call_timers: BTreeSet<(Time, CallId)>,
@@ -334,7 +334,7 @@
         for shard in shards {
             self.request_copy(cx, shard);
             if let Some(held) = self.shards.get(&shard)
-                && held.phase == Phase::Whole
+                && held.phase == Phase::Loaded
             {
                 self.resend_unkept(cx, shard, held);
             }
@@ -454,13 +454,13 @@
                     self.call_timers.insert((due, id));
                 }
             }
-            State::Recording { .. } => {}
+            State::PersistingOutcome { .. } => {}
         }
     }
 
     pub(crate) fn on_program_timer(&mut self, cx: &mut Context<'_>, id: ProgramId) {
         let shard = id.shard(cx.rules.shards);
-        let adopting = |held: &Held| held.phase == Phase::Adopting;
+        let adopting = |held: &OwnedShard| held.phase == Phase::Adopting;
         let Some(program) = self.programs.get(&id) else {
             return;
         };
@@ -484,7 +484,7 @@
             self.programs.remove(&id);
             self.keep(cx, shard, Change::Forget(id));
         } else {
-            cx.note(Note::new("program_abandoned").with("program", id));
+            cx.note(LogEvent::new("program_abandoned").with("program", id));
             self.end_subtree(cx, shard, id);
             self.program_timers
                 .insert((cx.now + cx.rules.retention(), id));
@@ -494,7 +494,7 @@
 
 impl Call {
     pub(crate) fn is_refused(&self) -> bool {
-        matches!(&self.state, State::Recording { outcome } if outcome.is_not_run())
+        matches!(&self.state, State::PersistingOutcome { outcome } if outcome.is_not_run())
     }
 }
 
@@ -534,7 +534,7 @@
     call.program.is_single() && call.idempotent && !call.keyed
 }
 
-pub(crate) fn reply(cx: &mut Context<'_>, watcher: &Watcher, reply: Reply) {
+pub(crate) fn reply(cx: &mut Context<'_>, watcher: &Subscriber, reply: Reply) {
     let message = Message::Reply {
         ticket: watcher.ticket,
         reply,
@@ -544,7 +544,7 @@
 
 pub(crate) fn send_bytes(
     cx: &mut Context<'_>,
-    watcher: &Watcher,
+    watcher: &Subscriber,
     attempt: u64,
     bytes: &[u8],
     offset: u64,
@@ -565,7 +565,7 @@
     match outcome {
         Outcome::Answer(Answer {
             status, kind, body, ..
-        }) => Reply::Ended(Ending {
+        }) => Reply::Ended(AnswerEnd {
             call: record.call,
             number: record.number,
             attempt: record.attempt,
@@ -636,7 +636,7 @@
     match request.target {
         Target::Service { .. } => 0,
         Target::Model(_) => {
-            let old = if request.supply == Supply::Full {
+            let old = if request.supply == HistoryMode::Full {
                 0
             } else {
                 history
--- a/lib/src/patch.rs
+++ b/lib/src/patch.rs
@@ -41,7 +41,7 @@
 /// An entry of the audit log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct AuditLine {
+pub struct AuditEntry {
     /// Who sent the patch.
     pub who: String,
     /// When it was applied, in seconds since the Unix epoch.
@@ -92,9 +92,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
     /// The patch was applied earlier and resulted in this version.
-    Before(Version),
+    AlreadyApplied(Version),
     /// The new envelope and its audit entry, both still to be stored.
-    Now(Box<Envelope>, Box<AuditLine>),
+    New(Box<Envelope>, Box<AuditEntry>),
 }
 
 /// Returns the initial envelope of an operator, before any patch.
@@ -125,7 +125,7 @@
     let digest = Digest::of(&serde_json::to_vec(patch).unwrap_or_default());
     if let Some(old) = envelope.patches.iter().find(|old| old.id == patch.id) {
         if old.digest == digest {
-            return Ok(Applied::Before(old.version));
+            return Ok(Applied::AlreadyApplied(old.version));
         }
         return Err(PatchError::IdReused(patch.id.clone()));
     }
@@ -138,7 +138,7 @@
     let document = apply_change(&envelope.document, &patch.change)?;
     Document::parse(&document).map_err(PatchError::Faulty)?;
     let version = Version(envelope.version.0 + 1);
-    let audit = AuditLine {
+    let audit = AuditEntry {
         who: who.to_owned(),
         when,
         id: patch.id.clone(),
@@ -160,7 +160,7 @@
         document,
         patches,
     };
-    Ok(Applied::Now(Box::new(next), Box::new(audit)))
+    Ok(Applied::New(Box::new(next), Box::new(audit)))
 }
 
 fn apply_change(
--- a/lib/src/program.rs
+++ b/lib/src/program.rs
@@ -41,7 +41,7 @@
 
 /// How a call's messages relate to the program's history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Supply {
+pub enum HistoryMode {
     /// The call contains all messages; they replace the history.
     Full,
     /// The call contains only new messages, which continue the history; the
@@ -83,7 +83,7 @@
     /// Whether it is safe to run the call more than once.
     pub idempotent: bool,
     /// How `turns` relate to the history; for model calls only.
-    pub supply: Supply,
+    pub supply: HistoryMode,
     /// New messages of a model call.
     pub turns: Vec<Turn>,
     /// Body for a service; further parameters, as a JSON object, for a model.
--- a/lib/src/program_requests.rs
+++ b/lib/src/program_requests.rs
@@ -10,22 +10,22 @@
 use crate::id::ProgramId;
 use crate::id::ShardId;
 use crate::message::Change;
-use crate::message::Judgement;
 use crate::message::Message;
 use crate::message::OpenRequest;
+use crate::message::OutcomeDecision;
 use crate::message::Reply;
 use crate::message::Request;
 use crate::message::Ticket;
 use crate::outcome::Outcome;
 use crate::outcome::Refusal;
 use crate::owner::Context;
+use crate::owner::DeferredAction;
 use crate::owner::Owner;
 use crate::owner::ParkedRequest;
 use crate::owner::Part;
 use crate::owner::Phase;
 use crate::owner::Program;
-use crate::owner::Step;
-use crate::owner::Watcher;
+use crate::owner::Subscriber;
 use crate::owner::is_stateless;
 use crate::owner::reply;
 use crate::owner::update;
@@ -42,7 +42,7 @@
         request: Request,
         offset: u64,
     ) {
-        let watcher = Watcher {
+        let watcher = Subscriber {
             node: from.clone(),
             ticket,
         };
@@ -77,7 +77,7 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Watcher,
+        watcher: Subscriber,
         request: Request,
         offset: u64,
     ) {
@@ -113,7 +113,7 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Watcher,
+        watcher: Subscriber,
         open: &OpenRequest,
     ) {
         if self.programs.contains_key(&open.program) {
@@ -123,7 +123,7 @@
                 cx,
                 shard,
                 seq,
-                Step::Answer(watcher, open.program, Part::Head),
+                DeferredAction::Answer(watcher, open.program, Part::Head),
             );
             return;
         }
@@ -157,7 +157,7 @@
             cx,
             shard,
             seq,
-            Step::Answer(watcher, open.program, Part::Head),
+            DeferredAction::Answer(watcher, open.program, Part::Head),
         );
     }
 
@@ -203,18 +203,23 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Watcher,
+        watcher: Subscriber,
         id: ProgramId,
     ) {
         let seq = self.keep(cx, shard, Change::Probe);
-        self.after(cx, shard, seq, Step::Answer(watcher, id, Part::Whole));
+        self.after(
+            cx,
+            shard,
+            seq,
+            DeferredAction::Answer(watcher, id, Part::Whole),
+        );
     }
 
     pub(crate) fn end(
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Watcher,
+        watcher: Subscriber,
         id: ProgramId,
     ) {
         if !self.programs.contains_key(&id) {
@@ -222,7 +227,12 @@
             return;
         }
         let seq = self.end_subtree(cx, shard, id);
-        self.after(cx, shard, seq, Step::Answer(watcher, id, Part::Head));
+        self.after(
+            cx,
+            shard,
+            seq,
+            DeferredAction::Answer(watcher, id, Part::Head),
+        );
     }
 
     /// Ends a program and its sub-agents. Returns the sequence number of the
@@ -287,8 +297,8 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Watcher,
-        judgement: &Judgement,
+        watcher: Subscriber,
+        judgement: &OutcomeDecision,
     ) {
         let Some(program) = self.programs.get_mut(&judgement.program) else {
             self.refuse_request(cx, Some(shard), watcher, Refusal::new(Code::ProgramUnknown));
@@ -321,7 +331,7 @@
             cx,
             shard,
             seq,
-            Step::Answer(watcher, judgement.program, Part::Head),
+            DeferredAction::Answer(watcher, judgement.program, Part::Head),
         );
     }
 }
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -41,16 +41,16 @@
 pub type Rank = (u8, u128);
 
 /// A policy that ranks the waiting calls.
-pub trait Ordering {
+pub trait RankPolicy {
     /// Returns the rank of a call. It is computed once, when the call is queued.
     fn rank(&self, call: &Waiting) -> Rank;
 }
 
 /// First in, first out.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstCome;
+pub struct Fifo;
 
-impl Ordering for FirstCome {
+impl RankPolicy for Fifo {
     fn rank(&self, call: &Waiting) -> Rank {
         (0, micros(call.arrived))
     }
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastAttained;
 
-impl Ordering for LeastAttained {
+impl RankPolicy for LeastAttained {
     fn rank(&self, call: &Waiting) -> Rank {
         let near_deadline = call.deadline.since(call.arrived) <= NEAR_DEADLINE;
         if call.urgency == Urgency::Urgent || near_deadline {
--- a/lib/src/rate_limiter.rs
+++ b/lib/src/rate_limiter.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 use crate::allowance::AllowanceBounds;
+use crate::allowance::KeeperDecision;
 use crate::allowance::PendingRequest;
 use crate::allowance::ProcessStart;
-use crate::allowance::Ruling;
 use crate::allowance::Shortage;
-use crate::allowance::Use;
-use crate::allowance::UseReply;
+use crate::allowance::UsageReply;
+use crate::allowance::UsageReport;
 use crate::hash;
 use crate::sliding_window::SlidingWindow;
 use crate::time::Time;
@@ -114,8 +114,8 @@
         workspace: &str,
         programs: Vec<u64>,
         young: bool,
-    ) -> Use {
-        Use {
+    ) -> UsageReport {
+        UsageReport {
             workspace: workspace.into(),
             limit: bounds.limit(&self.allowance),
             reserve: bounds.reserve(&self.allowance),
@@ -144,7 +144,7 @@
 
 /// A gateway's counts of all workspaces.
 #[derive(Clone, Debug)]
-pub struct Spending {
+pub struct RateLimiter {
     bounds: AllowanceBounds,
     /// Whether new programs are refused before requests of running ones.
     by_programs: bool,
@@ -157,14 +157,14 @@
 
 /// The keepers that count the requests of a workspace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct InCharge {
+pub struct ResponsibleKeepers {
     /// The responsible keeper.
     pub keeper: Option<ProcessStart>,
     /// Its standbys, as many as the number of keepers that may fail at once.
     pub others: Vec<ProcessStart>,
 }
 
-impl Spending {
+impl RateLimiter {
     /// Creates the counts of a gateway that starts `now`.
     pub fn new(bounds: AllowanceBounds, by_programs: bool, now: Time) -> Self {
         Self {
@@ -182,7 +182,12 @@
     /// once. A keeper that has just started lacks the reports of gateways that have
     /// failed or are cut off from it, so it is only a standby until it has received
     /// reports for a whole window, unless there is no other keeper.
-    pub fn in_charge(&self, now: Time, order: &[ProcessStart], faults: usize) -> InCharge {
+    pub fn in_charge(
+        &self,
+        now: Time,
+        order: &[ProcessStart],
+        faults: usize,
+    ) -> ResponsibleKeepers {
         let is_incomplete = |keeper: &&ProcessStart| {
             let until = self.incomplete_until.get(*keeper);
             until.is_some_and(|until| now < *until)
@@ -190,7 +195,7 @@
         let complete = order.iter().find(|keeper| !is_incomplete(keeper));
         let keeper = complete.or(order.first()).cloned();
         let others = order.iter().filter(|other| Some(*other) != keeper.as_ref());
-        InCharge {
+        ResponsibleKeepers {
             others: others.take(faults).cloned().collect(),
             keeper,
         }
@@ -290,7 +295,7 @@
         workspace: &str,
         keeper: &ProcessStart,
         wants: Option<&Counted>,
-    ) -> Option<Use> {
+    ) -> Option<UsageReport> {
         let young = self.has_just_started(now);
         let bounds = self.bounds;
         let account = self.accounts.get_mut(workspace)?;
@@ -307,7 +312,7 @@
     /// Returns the report to the standbys on a workspace, if it is near its limit.
     /// A standby that takes over then has complete counts at once, including those
     /// of gateways that have failed or are cut off by then.
-    pub fn copy(&mut self, now: Time, workspace: &str) -> Option<Use> {
+    pub fn copy(&mut self, now: Time, workspace: &str) -> Option<UsageReport> {
         let young = self.has_just_started(now);
         let bounds = self.bounds;
         let account = self.accounts.get_mut(workspace)?;
@@ -332,7 +337,7 @@
     }
 
     /// Applies a keeper's reply on a workspace.
-    pub fn hear(&mut self, now: Time, keeper: &ProcessStart, workspace: &str, reply: &UseReply) {
+    pub fn hear(&mut self, now: Time, keeper: &ProcessStart, workspace: &str, reply: &UsageReply) {
         if !reply.young.is_zero() {
             self.incomplete_until.retain(|_, until| now < *until);
             self.incomplete_until
@@ -346,12 +351,12 @@
         account.others = reply.others.map(|others| (others, now));
         account.unacknowledged_since = None;
         match reply.ruling {
-            Some(Ruling::Full(after)) => account.full_until = now + after,
-            Some(Ruling::Closed { room, turn }) => {
+            Some(KeeperDecision::Full(after)) => account.full_until = now + after,
+            Some(KeeperDecision::Closed { room, turn }) => {
                 account.closed_until = now + room;
                 account.retry_at = now + turn;
             }
-            Some(Ruling::Go) | None => {}
+            Some(KeeperDecision::Go) | None => {}
         }
     }
 
--- a/lib/src/replication.rs
+++ b/lib/src/replication.rs
@@ -10,19 +10,19 @@
 use crate::id::ProgramId;
 use crate::id::ShardId;
 use crate::message::Change;
-use crate::message::KeepFault;
+use crate::message::ChangeRejection;
 use crate::message::Message;
 use crate::message::Reply;
 use crate::outcome::Outcome;
 use crate::outcome::Refusal;
 use crate::owner::Call;
 use crate::owner::Context;
-use crate::owner::Held;
-use crate::owner::MAX_UNKEPT;
+use crate::owner::DeferredAction;
+use crate::owner::MAX_UNACKED;
+use crate::owner::OwnedShard;
 use crate::owner::Owner;
 use crate::owner::Phase;
 use crate::owner::State;
-use crate::owner::Step;
 use crate::owner::reply;
 use crate::owner::update;
 use crate::owner::view;
@@ -36,7 +36,7 @@
         };
         held.seq += 1;
         held.waiting.get_or_insert(cx.now);
-        if held.unkept.len() >= MAX_UNKEPT {
+        if held.unkept.len() >= MAX_UNACKED {
             // Once the keeper is reachable, it detects the gap and is sent the
             // whole shard.
             held.unkept.clear();
@@ -75,7 +75,13 @@
     }
 
     /// Runs `step` once the keeper has acknowledged change `seq`.
-    pub(crate) fn after(&mut self, cx: &mut Context<'_>, shard: ShardId, seq: u64, step: Step) {
+    pub(crate) fn after(
+        &mut self,
+        cx: &mut Context<'_>,
+        shard: ShardId,
+        seq: u64,
+        step: DeferredAction,
+    ) {
         let Some(held) = self.shards.get_mut(&shard) else {
             return;
         };
@@ -87,15 +93,17 @@
         }
     }
 
-    pub(crate) fn run_step(&mut self, cx: &mut Context<'_>, step: Step) {
+    pub(crate) fn run_step(&mut self, cx: &mut Context<'_>, step: DeferredAction) {
         match step {
-            Step::Dispatch(call) => self.dispatch(cx, call),
-            Step::Finish(call) => {
+            DeferredAction::Dispatch(call) => self.dispatch(cx, call),
+            DeferredAction::Finish(call) => {
                 self.forget_done(cx, call);
                 self.finish(cx, call);
             }
-            Step::Refuse(watcher, refusal) => reply(cx, &watcher, Reply::Refused(refusal)),
-            Step::Answer(watcher, program, part) => {
+            DeferredAction::Refuse(watcher, refusal) => {
+                reply(cx, &watcher, Reply::Refused(refusal))
+            }
+            DeferredAction::Answer(watcher, program, part) => {
                 let message = match self.programs.get(&program) {
                     Some(program) => Reply::Program(Box::new(view(&program.copy, part))),
                     None => Reply::Refused(Refusal::new(Code::ProgramUnknown)),
@@ -153,7 +161,7 @@
         from: &NodeId,
         shard: ShardId,
         epoch: Epoch,
-        fault: KeepFault,
+        fault: ChangeRejection,
     ) {
         let Some(held) = self.shards.get(&shard) else {
             return;
@@ -162,9 +170,9 @@
             return;
         }
         match fault {
-            KeepFault::Gap if held.phase == Phase::Whole => self.fill(cx, shard),
-            KeepFault::Gap => {}
-            KeepFault::Fenced => self.release(cx, shard),
+            ChangeRejection::Gap if held.phase == Phase::Loaded => self.fill(cx, shard),
+            ChangeRejection::Gap => {}
+            ChangeRejection::Fenced => self.release(cx, shard),
         }
     }
 
@@ -197,7 +205,7 @@
     }
 
     /// Sends all unacknowledged changes of a shard to its keeper again.
-    pub(crate) fn resend_unkept(&self, cx: &mut Context<'_>, shard: ShardId, held: &Held) {
+    pub(crate) fn resend_unkept(&self, cx: &mut Context<'_>, shard: ShardId, held: &OwnedShard) {
         let Some(keeper) = &held.keeper else {
             return;
         };
@@ -242,34 +250,34 @@
         cx: &mut Context<'_>,
         shard: ShardId,
         seq: u64,
-        step: Step,
+        step: DeferredAction,
     ) {
         let call = match &step {
-            Step::Dispatch(id) | Step::Finish(id) => self.calls.get_mut(id),
-            Step::Refuse(..) | Step::Answer(..) => None,
+            DeferredAction::Dispatch(id) | DeferredAction::Finish(id) => self.calls.get_mut(id),
+            DeferredAction::Refuse(..) | DeferredAction::Answer(..) => None,
         };
         let repeatable = |call: &Call| call.program.is_single() && call.record.idempotent;
         match (step, call) {
             (step, Some(call)) if repeatable(call) => self.run_step(cx, step),
-            (Step::Dispatch(id), Some(_)) => {
+            (DeferredAction::Dispatch(id), Some(_)) => {
                 self.conclude(cx, id, Outcome::refused(Code::NoServer));
             }
-            (Step::Finish(id), Some(call)) if call.is_refused() => {
+            (DeferredAction::Finish(id), Some(call)) if call.is_refused() => {
                 // "Not run" may only be reported once the keeper has recorded
                 // it.
                 let outcome = Outcome::refused(Code::NoKeeper);
-                call.state = State::Recording { outcome };
+                call.state = State::PersistingOutcome { outcome };
                 self.finish(cx, id);
             }
-            (Step::Refuse(watcher, _) | Step::Answer(watcher, ..), _) => {
+            (DeferredAction::Refuse(watcher, _) | DeferredAction::Answer(watcher, ..), _) => {
                 reply(cx, &watcher, Reply::Refused(Refusal::new(Code::NoKeeper)));
             }
-            (step @ Step::Finish(_), _) => {
+            (step @ DeferredAction::Finish(_), _) => {
                 if let Some(held) = self.shards.get_mut(&shard) {
                     held.steps.push_back((seq, step));
                 }
             }
-            (Step::Dispatch(_), None) => {}
+            (DeferredAction::Dispatch(_), None) => {}
         }
     }
 }
--- a/lib/src/report_schedule.rs
+++ b/lib/src/report_schedule.rs
@@ -23,30 +23,30 @@
 
 /// Role of a keeper that receives load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub enum KeeperRole {
     /// In charge of load.
-    First,
+    Primary,
     /// Standby for the keeper in charge.
-    Second,
+    Standby,
 }
 
 /// When a gateway last reported to a keeper.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReportTimes {
+pub struct ReportSchedule {
     last: Option<Time>,
     was_busy: bool,
 }
 
-impl ReportTimes {
+impl ReportSchedule {
     /// Returns whether a report is due. `busy` is whether the gateway has requests,
     /// and `reporters` the number of gateways that report.
-    pub fn is_due(&self, now: Time, duty: Duty, busy: bool, reporters: u32) -> bool {
+    pub fn is_due(&self, now: Time, duty: KeeperRole, busy: bool, reporters: u32) -> bool {
         let Some(last) = self.last else {
             return true;
         };
         let min_interval = match duty {
-            Duty::First => BUSY_INTERVAL,
-            Duty::Second => STANDBY_INTERVAL,
+            KeeperRole::Primary => BUSY_INTERVAL,
+            KeeperRole::Standby => STANDBY_INTERVAL,
         };
         let interval = if busy || self.was_busy {
             (INTERVAL_PER_REPORTER * reporters).clamp(min_interval, MAX_BUSY_INTERVAL)
--- a/lib/src/request_rates.rs
+++ b/lib/src/request_rates.rs
@@ -14,7 +14,7 @@
 
 /// Requests of one process at a service: under way, and totals since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Requests at the service's servers.
     pub running: u32,
     /// Requests that ended there since the process started, modulo 2^32.
@@ -37,7 +37,7 @@
 
 impl RequestRates {
     /// Returns the rates after the counts changed from `before` to `counts` in `gap`.
-    pub fn updated(&self, before: &Counts, counts: &Counts, gap: Duration) -> Self {
+    pub fn updated(&self, before: &RequestCounts, counts: &RequestCounts, gap: Duration) -> Self {
         let gap = gap.max(MIN_GAP).as_secs_f64();
         let weight = |time: Duration| 1.0 - (-gap / time.as_secs_f64()).exp();
         let rate = if self.known {
--- a/lib/src/server.rs
+++ b/lib/src/server.rs
@@ -81,7 +81,7 @@
 
 /// How a request ended, as far as it concerns the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ServerOutcome {
     /// The server sent nothing for longer than answers take.
     Silent,
     /// The server answered.
--- a/lib/src/server_messages.rs
+++ b/lib/src/server_messages.rs
@@ -3,9 +3,9 @@
 use crate::code::Code;
 use crate::id::CallId;
 use crate::id::NodeId;
+use crate::message::AttemptStatus;
 use crate::message::Message;
-use crate::message::OrderFault;
-use crate::message::Standing;
+use crate::message::OrderRejection;
 use crate::outcome::Outcome;
 use crate::outcome::Refusal;
 use crate::owner::Call;
@@ -83,12 +83,12 @@
         from: &NodeId,
         id: CallId,
         attempt: u64,
-        fault: OrderFault,
+        fault: OrderRejection,
     ) {
         if self.current_attempt(from, id, attempt).is_none() {
             return;
         }
-        if fault == OrderFault::Late {
+        if fault == OrderRejection::Late {
             let program = self
                 .calls
                 .get(&id)
@@ -142,19 +142,19 @@
         from: &NodeId,
         id: CallId,
         attempt: u64,
-        standing: Standing,
+        standing: AttemptStatus,
     ) {
         let Some(call) = self.current_attempt(from, id, attempt) else {
             return;
         };
         match standing {
-            Standing::Open => {
+            AttemptStatus::Open => {
                 if let State::Settling { server, boot, .. } = call.state.clone() {
                     call.state = State::Running { server, boot };
                 }
             }
-            Standing::Sealed => self.retry_after_seal(cx, id),
-            Standing::OtherBoot => self.conclude_without_result(cx, id),
+            AttemptStatus::Sealed => self.retry_after_seal(cx, id),
+            AttemptStatus::OtherBoot => self.conclude_without_result(cx, id),
         }
     }
 
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -35,7 +35,7 @@
 
 /// Conditions that a request met at its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Work {
+pub struct RequestConditions {
     /// Prompt tokens that had to be prefilled.
     pub cold: u64,
     /// Other requests at the server at that time.
@@ -44,7 +44,7 @@
     pub slots: f64,
 }
 
-impl Work {
+impl RequestConditions {
     fn first_input(&self) -> [f64; 3] {
         [1.0, self.cold as f64 / 1_000.0, self.others]
     }
@@ -103,14 +103,14 @@
 
 impl ServiceTime {
     /// Updates the estimates with the time to a stream's first event.
-    pub fn learn_first(&mut self, work: &Work, took: Duration) {
+    pub fn learn_first(&mut self, work: &RequestConditions, took: Duration) {
         self.first.learn(&work.first_input(), millis(took));
         self.answer += (millis(took) - self.answer) * MEAN_WEIGHT;
     }
 
     /// Updates the estimates with a stream of `events` events that ended `took`
     /// after its first one.
-    pub fn learn_stream(&mut self, work: &Work, took: Duration, events: u64) {
+    pub fn learn_stream(&mut self, work: &RequestConditions, took: Duration, events: u64) {
         self.events += (events as f64 - self.events) * MEAN_WEIGHT;
         if events > 1 {
             let each = millis(took) / (events - 1) as f64;
@@ -119,7 +119,7 @@
     }
 
     /// Updates the estimates with the duration of a plain answer.
-    pub fn learn_plain(&mut self, work: &Work, took: Duration) {
+    pub fn learn_plain(&mut self, work: &RequestConditions, took: Duration) {
         self.plain.learn(&work.plain_input(), millis(took));
         self.answer += (millis(took) - self.answer) * MEAN_WEIGHT;
     }
@@ -146,7 +146,7 @@
     }
 
     /// Returns the expected time to a stream's first event, in ms.
-    pub fn first_event(&self, work: &Work) -> f64 {
+    pub fn first_event(&self, work: &RequestConditions) -> f64 {
         self.first
             .value(&work.first_input())
             .max(self.prefill_ms(work.cold))
@@ -154,7 +154,7 @@
 
     /// Returns the expected time of a part of an answer at a typical server, in
     /// ms.
-    pub fn expected(&self, work: &Work, span: Span) -> f64 {
+    pub fn expected(&self, work: &RequestConditions, span: Span) -> f64 {
         match span {
             Span::FirstEvent => self.first_event(work),
             Span::Events(count) => self.event.value(&work.event_input()) * count as f64,
@@ -164,8 +164,8 @@
 
     /// Returns the cost of a stream at a server, in ms: its own duration, the
     /// delay of other requests, and the wait for a slot.
-    pub fn stream_cost(&self, work: &Work) -> f64 {
-        let alone = Work {
+    pub fn stream_cost(&self, work: &RequestConditions) -> f64 {
+        let alone = RequestConditions {
             others: 0.0,
             ..*work
         };
@@ -179,12 +179,12 @@
     /// number of other requests than at an idle one, not counting the wait for a
     /// slot.
     pub fn slowdown(&self, others: f64, slots: f64) -> Duration {
-        let idle = Work {
+        let idle = RequestConditions {
             slots,
-            ..Work::default()
+            ..RequestConditions::default()
         };
         let max_others = (slots - 1.0).max(0.0);
-        let busy = Work {
+        let busy = RequestConditions {
             others: others.min(max_others),
             ..idle
         };
@@ -193,7 +193,7 @@
     }
 
     /// Returns the cost of a plain request at a server, in ms.
-    pub fn plain_cost(&self, work: &Work) -> f64 {
+    pub fn plain_cost(&self, work: &RequestConditions) -> f64 {
         let base = self.plain.value(&[1.0, 0.0]).max(1.0);
         let share = base / work.slots.max(1.0);
         let slope = self.plain.weights()[1] / work.slots.max(1.0);
--- a/lib/src/shard_copies.rs
+++ b/lib/src/shard_copies.rs
@@ -10,7 +10,7 @@
 use crate::id::ProgramId;
 use crate::id::ShardId;
 use crate::message::Change;
-use crate::message::KeepFault;
+use crate::message::ChangeRejection;
 use crate::program::ProgramCopy;
 
 /// The copy of one shard.
@@ -63,12 +63,12 @@
 /// The shard copies of a side process, and the highest epoch known of each
 /// shard.
 #[derive(Clone, Debug, Default)]
-pub struct Keeper {
+pub struct ShardCopies {
     fences: BTreeMap<ShardId, Epoch>,
     shards: BTreeMap<ShardId, ShardCopy>,
 }
 
-impl Keeper {
+impl ShardCopies {
     /// Returns the highest known epoch of `shard`; lower ones are rejected.
     pub fn fence(&self, shard: ShardId) -> Epoch {
         self.fences.get(&shard).copied().unwrap_or_default()
@@ -98,17 +98,17 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KeepFault::Fenced`] if a higher epoch is known, and
-    /// [`KeepFault::Gap`] if an earlier change is missing.
+    /// Returns [`ChangeRejection::Fenced`] if a higher epoch is known, and
+    /// [`ChangeRejection::Gap`] if an earlier change is missing.
     pub fn keep(
         &mut self,
         shard: ShardId,
         epoch: Epoch,
         seq: u64,
         change: Change,
-    ) -> Result<u64, KeepFault> {
+    ) -> Result<u64, ChangeRejection> {
         if !self.raise_fence(shard, epoch) {
-            return Err(KeepFault::Fenced);
+            return Err(ChangeRejection::Fenced);
         }
         let kept = self.shards.entry(shard).or_default();
         if change == Change::Begin {
@@ -123,13 +123,13 @@
             return Ok(seq);
         }
         if kept.epoch != epoch {
-            return Err(KeepFault::Gap);
+            return Err(ChangeRejection::Gap);
         }
         if seq <= kept.seq {
             return Ok(kept.seq);
         }
         if seq != kept.seq + 1 {
-            return Err(KeepFault::Gap);
+            return Err(ChangeRejection::Gap);
         }
         kept.seq = seq;
         kept.apply(change);
@@ -143,15 +143,15 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KeepFault::Fenced`] if a higher epoch is known.
+    /// Returns [`ChangeRejection::Fenced`] if a higher epoch is known.
     pub fn adopt(
         &mut self,
         shard: ShardId,
         epoch: Epoch,
         chosen: Epoch,
-    ) -> Result<Option<(u64, Vec<ProgramCopy>)>, KeepFault> {
+    ) -> Result<Option<(u64, Vec<ProgramCopy>)>, ChangeRejection> {
         if !self.raise_fence(shard, epoch) {
-            return Err(KeepFault::Fenced);
+            return Err(ChangeRejection::Fenced);
         }
         let Some(kept) = self.shards.get_mut(&shard) else {
             return Ok(None);
--- a/lib/src/shard_planner.rs
+++ b/lib/src/shard_planner.rs
@@ -10,7 +10,7 @@
 use crate::member::Member;
 use crate::member::Role;
 use crate::owner::Context;
-use crate::owner::Held;
+use crate::owner::OwnedShard;
 use crate::owner::Owner;
 use crate::owner::Phase;
 use crate::rank;
@@ -55,7 +55,7 @@
         cx: &Context<'_>,
         shard: ShardId,
         current: &Assignment,
-        held: Option<&Held>,
+        held: Option<&OwnedShard>,
         moves: &mut usize,
     ) -> Option<Assignment> {
         let is_own = current.owner.as_ref() == Some(&self.node);
@@ -102,7 +102,7 @@
         cx: &Context<'_>,
         shard: ShardId,
         current: &Assignment,
-        held: &Held,
+        held: &OwnedShard,
         moves: &mut usize,
     ) -> Option<Assignment> {
         if held.phase == Phase::Adopting {
@@ -136,7 +136,7 @@
         cx: &Context<'_>,
         shard: ShardId,
         current: &Assignment,
-        held: &Held,
+        held: &OwnedShard,
     ) -> Option<Assignment> {
         let late = cx.now.since(held.since) >= cx.rules.cold_wait();
         let is_unlinked = |keeper: &NodeId| !cx.members.is_linked(keeper);
@@ -161,7 +161,7 @@
         (new_owner != self.node).then(|| next(current, Some(new_owner), current.keeper.clone()))
     }
 
-    fn keeper_is_lost(&self, cx: &Context<'_>, current: &Assignment, held: &Held) -> bool {
+    fn keeper_is_lost(&self, cx: &Context<'_>, current: &Assignment, held: &OwnedShard) -> bool {
         let Some(keeper) = &current.keeper else {
             return true;
         };
--- a/lib/src/side.rs
+++ b/lib/src/side.rs
@@ -9,9 +9,9 @@
 use crate::code::Code;
 use crate::document::Documents;
 use crate::document::Update;
+use crate::effect::BackendRequest;
 use crate::effect::Effect;
-use crate::effect::Note;
-use crate::effect::Work;
+use crate::effect::LogEvent;
 use crate::id::Boot;
 use crate::id::CallId;
 use crate::id::Epoch;
@@ -19,11 +19,11 @@
 use crate::id::ProgramId;
 use crate::id::ShardId;
 use crate::member::Load;
-use crate::message::Beat;
 use crate::message::Change;
+use crate::message::Heartbeat;
 use crate::message::Message;
 use crate::message::Order;
-use crate::message::OrderFault;
+use crate::message::OrderRejection;
 use crate::outcome::Answer;
 use crate::outcome::Outcome;
 use crate::program::Target;
@@ -31,7 +31,7 @@
 use crate::queue::Queue;
 use crate::rules::Rules;
 use crate::shard_copies::CopyRecord;
-use crate::shard_copies::Keeper;
+use crate::shard_copies::ShardCopies;
 use crate::shard_map::Block;
 use crate::shard_map::ShardMap;
 use crate::speed::Speed;
@@ -52,7 +52,7 @@
 
 /// How a request to the backend server ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BackendEnd {
+pub enum BackendResult {
     /// It returned a complete answer.
     Answer(Answer),
     /// The connection failed, or the answer was incomplete.
@@ -106,12 +106,12 @@
         /// The attempt.
         attempt: u64,
         /// How it ended.
-        end: BackendEnd,
+        end: BackendResult,
     },
     /// Periodic timer.
     Tick,
     /// The server is shutting down: accept no new work.
-    Leave,
+    ShutDown,
 }
 
 /// State of an attempt.
@@ -151,7 +151,7 @@
     pub(crate) rules: Rules,
     pub(crate) map: ShardMap,
     pub(crate) documents: Documents,
-    pub(crate) keeper: Keeper,
+    pub(crate) keeper: ShardCopies,
     /// Whether changes of the shard copies are written to disk.
     pub(crate) persistent: bool,
     pub(crate) records: BTreeMap<AttemptKey, AttemptRecord>,
@@ -182,7 +182,7 @@
             boot,
             rules,
             documents: Documents::default(),
-            keeper: Keeper::default(),
+            keeper: ShardCopies::default(),
             persistent: false,
             records: BTreeMap::new(),
             queue: Queue::default(),
@@ -211,7 +211,7 @@
     }
 
     /// Returns the shard copies that this process holds as keeper.
-    pub fn keeper(&self) -> &Keeper {
+    pub fn keeper(&self) -> &ShardCopies {
         &self.keeper
     }
 
@@ -277,7 +277,7 @@
                 self.backend_done(now, (call, attempt), end, out);
             }
             Event::Tick => self.tick(now, out),
-            Event::Leave => self.leave(now, out),
+            Event::ShutDown => self.leave(now, out),
         }
         self.start_next(now, out);
     }
@@ -331,8 +331,8 @@
 
     fn update_document(&mut self, text: &str, out: &mut Vec<Effect>) {
         if let Update::Applied(version) = self.documents.update(text) {
-            out.push(Effect::Note(
-                Note::new("document_applied").with("version", version),
+            out.push(Effect::Log(
+                LogEvent::new("document_applied").with("version", version),
             ));
         }
     }
@@ -491,7 +491,7 @@
             record.model = true;
             self.cached.insert(order.program, now);
         }
-        let work = Work {
+        let work = BackendRequest {
             program: order.program,
             target: order.target,
             turns: order.turns.into_iter().map(|turn| turn.text).collect(),
@@ -531,7 +531,13 @@
         send(&record.owner, message, out);
     }
 
-    fn backend_done(&mut self, now: Time, key: AttemptKey, end: BackendEnd, out: &mut Vec<Effect>) {
+    fn backend_done(
+        &mut self,
+        now: Time,
+        key: AttemptKey,
+        end: BackendResult,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
@@ -539,16 +545,16 @@
             return;
         }
         let outcome = match end {
-            BackendEnd::Answer(answer) => Outcome::Answer(answer),
-            BackendEnd::Failed if record.idempotent => Outcome::refused(Code::BackendFailed),
-            BackendEnd::Failed => Outcome::refused(Code::OutcomeUnknown),
-            BackendEnd::Unreachable => {
+            BackendResult::Answer(answer) => Outcome::Answer(answer),
+            BackendResult::Failed if record.idempotent => Outcome::refused(Code::BackendFailed),
+            BackendResult::Failed => Outcome::refused(Code::OutcomeUnknown),
+            BackendResult::Unreachable => {
                 // Nothing was sent, so the owner may run the call elsewhere;
                 // this attempt is never run here.
                 record.state = AttemptState::Sealed;
                 let owner = record.owner.clone();
                 self.free_slot(now, key);
-                refuse_order(&owner, key, OrderFault::Unreachable, out);
+                refuse_order(&owner, key, OrderRejection::Unreachable, out);
                 return;
             }
         };
@@ -612,12 +618,12 @@
             record.state = AttemptState::Sealed;
             record.since = now;
             self.tokens = self.tokens.saturating_sub(record.tokens);
-            refuse_order(&record.owner, key, OrderFault::Leaving, out);
+            refuse_order(&record.owner, key, OrderRejection::Leaving, out);
         }
     }
 
     fn send_heartbeat(&self, to: &NodeId, out: &mut Vec<Effect>) {
-        let beat = Beat {
+        let beat = Heartbeat {
             versions: self.documents.versions(),
             blocks: (0..self.map.blocks())
                 .map(|b| self.map.revision(b))
@@ -630,7 +636,7 @@
 
     /// Sends an entry the documents that are newer than its own, so that they
     /// also spread through side processes while the key-value service is down.
-    fn handle_heartbeat(&mut self, from: &NodeId, beat: &Beat, out: &mut Vec<Effect>) {
+    fn handle_heartbeat(&mut self, from: &NodeId, beat: &Heartbeat, out: &mut Vec<Effect>) {
         for text in self.documents.newer_than(&beat.versions) {
             send(from, Message::Document(text.to_owned()), out);
         }
@@ -712,7 +718,12 @@
     });
 }
 
-pub(crate) fn refuse_order(to: &NodeId, key: AttemptKey, fault: OrderFault, out: &mut Vec<Effect>) {
+pub(crate) fn refuse_order(
+    to: &NodeId,
+    key: AttemptKey,
+    fault: OrderRejection,
+    out: &mut Vec<Effect>,
+) {
     let message = Message::OrderRefused {
         call: key.0,
         attempt: key.1,
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SseEvent {
     /// Part of the answer: the unchanged bytes, with the blank line at the end.
-    Piece(Vec<u8>),
+    Chunk(Vec<u8>),
     /// The event that ends the stream.
     End,
 }
@@ -46,7 +46,7 @@
                     if let Ok(value) = serde_json::from_str(data) {
                         self.add(&value);
                     }
-                    events.push(SseEvent::Piece(event));
+                    events.push(SseEvent::Chunk(event));
                 }
                 None => {}
             }
--- a/lib/src/store_watch.rs
+++ b/lib/src/store_watch.rs
@@ -7,9 +7,9 @@
 /// Default time for which the store may hold a call without a change. A call
 /// that was lost in an outage of the store has to time out before the platform
 /// relies on its store again.
-pub const HOLD: Duration = Duration::from_millis(1_500);
+pub const DEFAULT_HOLD: Duration = Duration::from_millis(1_500);
 /// Longest time for which the store's protocol allows a call to be held.
-pub const MOST_HOLD: Duration = Duration::from_secs(30);
+pub const MAX_HOLD: Duration = Duration::from_secs(30);
 /// Time allowed for the answer after the hold time: a slow store needs about
 /// 400 ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(750);
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -1,6 +1,6 @@
 //! Takeover of a shard from the keeper's copy, and release of a shard.
 
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::id::CallId;
 use crate::id::Epoch;
 use crate::id::NodeId;
@@ -9,12 +9,12 @@
 use crate::message::Reply;
 use crate::owner::Call;
 use crate::owner::Context;
-use crate::owner::Held;
+use crate::owner::DeferredAction;
+use crate::owner::OwnedShard;
 use crate::owner::Owner;
 use crate::owner::ParkedRequest;
 use crate::owner::Phase;
 use crate::owner::State;
-use crate::owner::Step;
 use crate::owner::reply;
 use crate::program::CallStage;
 use crate::program::ProgramCopy;
@@ -32,11 +32,11 @@
     ) {
         self.release(cx, shard);
         let phase = if is_new {
-            Phase::Whole
+            Phase::Loaded
         } else {
             Phase::Adopting
         };
-        let held = Held::new(cx.now, assignment, phase);
+        let held = OwnedShard::new(cx.now, assignment, phase);
         self.shards.insert(shard, held);
         if is_new {
             self.fill(cx, shard);
@@ -57,7 +57,7 @@
         held.copies_lost = assignment.lost.0 > 0;
         if held.phase == Phase::Adopting {
             // Both copies are lost: the shard starts again without programs.
-            held.phase = Phase::Whole;
+            held.phase = Phase::Loaded;
             held.incoming.clear();
             let parked = std::mem::take(&mut held.parked);
             self.fill(cx, shard);
@@ -117,7 +117,7 @@
             return;
         };
         held.seq = seq;
-        held.phase = Phase::Whole;
+        held.phase = Phase::Loaded;
         let incoming = std::mem::take(&mut held.incoming);
         let parked = std::mem::take(&mut held.parked);
         let count = incoming.len();
@@ -125,7 +125,7 @@
             self.install_program(cx, shard, copy);
         }
         cx.note(
-            Note::new("shard_adopted")
+            LogEvent::new("shard_adopted")
                 .with("shard", shard)
                 .with("epoch", epoch)
                 .with("programs", count),
@@ -220,7 +220,8 @@
             reply(cx, &request.watcher, Reply::Moved);
         }
         for (_, step) in held.steps {
-            if let Step::Answer(watcher, _, _) | Step::Refuse(watcher, _) = step {
+            if let DeferredAction::Answer(watcher, _, _) | DeferredAction::Refuse(watcher, _) = step
+            {
                 reply(cx, &watcher, Reply::Moved);
             }
         }
--- a/lib/src/turn_admission.rs
+++ b/lib/src/turn_admission.rs
@@ -21,28 +21,28 @@
 use serde::Serialize;
 
 use crate::ledger::Presence;
-use crate::ledger::Share;
+use crate::ledger::TurnUsage;
 use crate::membership::Replicas;
 
 /// A replica's view of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View {
+pub struct ReplicaView {
     /// Whether the replica has lost nothing that it ever acknowledged.
     pub whole: bool,
     /// Tokens that the program's other turns charge to the budget.
-    pub shares: Vec<Share>,
+    pub shares: Vec<TurnUsage>,
     /// Whether the replica stores the previous turn, if the request named one.
     pub previous: Presence,
 }
 
 /// An event at a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ReplicaEvent {
     /// It recorded the turn, and answered the first query.
-    Noted(View),
+    Noted(ReplicaView),
     /// It answered the second query, which is sent after a majority has recorded
     /// the turn.
-    Seen(View),
+    Seen(ReplicaView),
     /// It has the turn on disk.
     Synced,
     /// Its connection was lost; its earlier answers are void.
@@ -51,7 +51,7 @@
 
 /// What the turn has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum NextAction {
     /// Wait for answers of more replicas.
     Wait,
     /// Send the second query to the replicas.
@@ -64,14 +64,14 @@
 
 #[derive(Clone, Debug, Default)]
 struct Answers {
-    noted: Option<View>,
-    seen: Option<View>,
+    noted: Option<ReplicaView>,
+    seen: Option<ReplicaView>,
     synced: bool,
 }
 
 /// State of the admission of one turn.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct TurnAdmission {
     replicas: Replicas,
     replies: HashMap<usize, Answers>,
     budget: Option<u64>,
@@ -79,7 +79,7 @@
     second_query: bool,
 }
 
-impl Opening {
+impl TurnAdmission {
     /// Starts the admission of a turn that may use up to `most` tokens of `budget`.
     pub fn new(replicas: Replicas, budget: Option<u64>, most: u64) -> Self {
         let replies = replicas.keepers.iter().map(|&at| (at, Answers::default()));
@@ -98,25 +98,25 @@
     }
 
     /// Applies an event at the replica with index `at`, and returns what to do next.
-    pub fn step(&mut self, at: usize, step: Step) -> Verdict {
+    pub fn step(&mut self, at: usize, step: ReplicaEvent) -> NextAction {
         if let Some(answers) = self.replies.get_mut(&at) {
             match step {
-                Step::Noted(view) => answers.noted = Some(view),
-                Step::Seen(view) => answers.seen = Some(view),
-                Step::Synced => answers.synced = true,
-                Step::Lost => *answers = Answers::default(),
+                ReplicaEvent::Noted(view) => answers.noted = Some(view),
+                ReplicaEvent::Seen(view) => answers.seen = Some(view),
+                ReplicaEvent::Synced => answers.synced = true,
+                ReplicaEvent::Lost => *answers = Answers::default(),
             }
         }
         self.verdict()
     }
 
-    fn verdict(&mut self) -> Verdict {
+    fn verdict(&mut self) -> NextAction {
         let Some(budget) = self.budget else {
             let noted = |at| self.replies[&at].noted.is_some();
             return if self.replicas.majority(noted) {
-                Verdict::Go
+                NextAction::Go
             } else {
-                Verdict::Wait
+                NextAction::Wait
             };
         };
         if self.second_query {
@@ -126,34 +126,34 @@
             .replicas
             .majority(|at| is_complete(&self.replies[&at].noted))
         {
-            return Verdict::Wait;
+            return NextAction::Wait;
         }
         if self.tokens_of_others(|answers| &answers.noted) + self.most <= budget / 2 {
-            return Verdict::Go;
+            return NextAction::Go;
         }
         self.second_query = true;
-        Verdict::Ask
+        NextAction::Ask
     }
 
-    fn second_verdict(&self, budget: u64) -> Verdict {
+    fn second_verdict(&self, budget: u64) -> NextAction {
         if !self
             .replicas
             .majority(|at| is_complete(&self.replies[&at].seen))
         {
-            return Verdict::Wait;
+            return NextAction::Wait;
         }
         if self.tokens_of_others(|answers| &answers.seen) + self.most <= budget {
-            Verdict::Go
+            NextAction::Go
         } else {
-            Verdict::Spent
+            NextAction::Spent
         }
     }
 
     /// Returns the tokens of the other turns, by the views that `view` selects. A
     /// turn's end takes precedence even if only one replica reports it, because
     /// the tokens of an ended turn do not change any more.
-    fn tokens_of_others(&self, view: impl Fn(&Answers) -> &Option<View>) -> u64 {
-        let mut turns: HashMap<&Arc<str>, &Share> = HashMap::new();
+    fn tokens_of_others(&self, view: impl Fn(&Answers) -> &Option<ReplicaView>) -> u64 {
+        let mut turns: HashMap<&Arc<str>, &TurnUsage> = HashMap::new();
         let views = self
             .replies
             .values()
@@ -193,6 +193,6 @@
     }
 }
 
-fn is_complete(view: &Option<View>) -> bool {
+fn is_complete(view: &Option<ReplicaView>) -> bool {
     view.as_ref().is_some_and(|view| view.whole)
 }
--- a/lib/src/turn_cost.rs
+++ b/lib/src/turn_cost.rs
@@ -41,7 +41,7 @@
 
 /// A request as described by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Offer {
+pub struct RequestSize {
     /// Size of its body, in bytes.
     pub body: u64,
     /// Whether it is a turn whose history is stored.
@@ -76,7 +76,7 @@
     }
 
     /// Returns the capacity that a gateway uses to serve a request, in seconds.
-    pub(crate) fn serve_time(&self, offer: Offer, power: Power) -> f64 {
+    pub(crate) fn serve_time(&self, offer: RequestSize, power: Power) -> f64 {
         let body = offer.body as f64;
         let bytes = if offer.kept {
             self.moved.unwrap_or(0.0).max(body * STORED_COPIES)
@@ -87,7 +87,7 @@
     }
 
     /// Returns the capacity that a gateway uses to forward a request, in seconds.
-    pub(crate) fn forward_time(offer: Offer, power: Power) -> f64 {
+    pub(crate) fn forward_time(offer: RequestSize, power: Power) -> f64 {
         let bytes = offer.body as f64 * FORWARD_COPIES;
         power.time(bytes, TURN_CORE_S * FORWARD_SHARE)
     }
--- a/lib/src/workspace.rs
+++ b/lib/src/workspace.rs
@@ -127,9 +127,9 @@
 pub enum Caller {
     /// The routing document defines no workspaces: credentials of callers are
     /// passed to the servers, which check them.
-    Untold,
+    Unchecked,
     /// A caller without a key on a route that requires none.
-    Anyone,
+    Anonymous,
     /// A workspace, identified by its key.
     Workspace(Arc<Workspace>),
 }
@@ -139,7 +139,7 @@
     pub fn workspace(&self) -> Option<&Arc<Workspace>> {
         match self {
             Self::Workspace(workspace) => Some(workspace),
-            Self::Untold | Self::Anyone => None,
+            Self::Unchecked | Self::Anonymous => None,
         }
     }
 
--- a/lib/tests/allowances.rs
+++ b/lib/tests/allowances.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use limpetferry_lib::allowance::AllowanceBounds;
+use limpetferry_lib::allowance::KeeperDecision;
 use limpetferry_lib::allowance::ProcessStart;
-use limpetferry_lib::allowance::Ruling;
-use limpetferry_lib::allowance_counter::AllowanceBook;
+use limpetferry_lib::allowance_counter::AllowanceCounter;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::rate_limiter::Counted;
 use limpetferry_lib::rate_limiter::Decision;
-use limpetferry_lib::rate_limiter::InCharge;
-use limpetferry_lib::rate_limiter::Spending;
+use limpetferry_lib::rate_limiter::RateLimiter;
+use limpetferry_lib::rate_limiter::ResponsibleKeepers;
 use limpetferry_lib::sliding_window::SlidingWindow;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::workspace::Allowance;
@@ -58,7 +58,7 @@
 }
 
 struct Gateway {
-    spending: Spending,
+    spending: RateLimiter,
     start: ProcessStart,
     cut_until: u64,
 }
@@ -93,7 +93,7 @@
     now: u64,
     workspace: Workspace,
     gateways: Vec<Gateway>,
-    keepers: Vec<Option<(ProcessStart, AllowanceBook)>>,
+    keepers: Vec<Option<(ProcessStart, AllowanceCounter)>>,
     programs: Vec<Program>,
     next_program: u64,
     sends: VecDeque<u64>,
@@ -105,14 +105,14 @@
 }
 
 /// Creates a keeper that starts at time `at`, which is also its boot id.
-fn keeper(number: usize, at: u64) -> (ProcessStart, AllowanceBook) {
+fn keeper(number: usize, at: u64) -> (ProcessStart, AllowanceCounter) {
     let start = ProcessStart {
         node: format!("keeper-{number}").into(),
         boot: Boot(at),
     };
     (
         start,
-        AllowanceBook::new(BOUNDS.window(), time(at), at == 0),
+        AllowanceCounter::new(BOUNDS.window(), time(at), at == 0),
     )
 }
 
@@ -121,7 +121,7 @@
         // All processes have run for longer than a window, so that they have
         // complete counts.
         let gateway = |number: usize| Gateway {
-            spending: Spending::new(BOUNDS, true, time(0)),
+            spending: RateLimiter::new(BOUNDS, true, time(0)),
             start: ProcessStart {
                 node: format!("gateway-{number}").into(),
                 boot: Boot(1),
@@ -142,23 +142,27 @@
     }
 
     /// Returns the keepers that a gateway uses, those with low numbers first.
-    fn in_charge(&self, gateway: usize) -> InCharge {
+    fn in_charge(&self, gateway: usize) -> ResponsibleKeepers {
         let gateway = &self.gateways[gateway];
         if gateway.cut_until > self.now {
-            return InCharge::default();
+            return ResponsibleKeepers::default();
         }
         let order = self.keepers.iter().flatten();
         let order: Vec<ProcessStart> = order.map(|(start, _)| start.clone()).collect();
         gateway.spending.in_charge(time(self.now), &order, FAULTS)
     }
 
-    fn book(&mut self, keeper: &ProcessStart) -> &mut AllowanceBook {
+    fn book(&mut self, keeper: &ProcessStart) -> &mut AllowanceCounter {
         let mut keepers = self.keepers.iter_mut().flatten();
         let found = keepers.find(|(start, _)| start == keeper);
         &mut found.expect("it is reachable").1
     }
 
-    fn report(&mut self, gateway: usize, wants: Option<&Counted>) -> Option<Option<Ruling>> {
+    fn report(
+        &mut self,
+        gateway: usize,
+        wants: Option<&Counted>,
+    ) -> Option<Option<KeeperDecision>> {
         let keeper = self.in_charge(gateway).keeper?;
         let now = time(self.now);
         let name = self.workspace.name.clone();
@@ -194,9 +198,9 @@
                 let ruling = self.report(gateway, Some(&counted));
                 let own = &mut self.gateways[gateway].spending;
                 let result = match ruling {
-                    Some(Some(Ruling::Full(after) | Ruling::Closed { turn: after, .. })) => {
-                        Err(after)
-                    }
+                    Some(Some(
+                        KeeperDecision::Full(after) | KeeperDecision::Closed { turn: after, .. },
+                    )) => Err(after),
                     Some(_) => {
                         own.allow(now, &counted);
                         Ok(())
@@ -256,7 +260,7 @@
     fn send_due_reports(&mut self, gateway: usize) {
         let now = time(self.now);
         let name = self.workspace.name.clone();
-        let InCharge { keeper, others } = self.in_charge(gateway);
+        let ResponsibleKeepers { keeper, others } = self.in_charge(gateway);
         let own = &mut self.gateways[gateway];
         own.spending.active(now);
         let copy = own.spending.copy(now, &name);
@@ -310,7 +314,7 @@
 
     fn restart_gateway(&mut self, number: usize) {
         let gateway = &mut self.gateways[number];
-        gateway.spending = Spending::new(BOUNDS, true, time(self.now));
+        gateway.spending = RateLimiter::new(BOUNDS, true, time(self.now));
         gateway.start.boot = Boot(gateway.start.boot.0 + 1);
     }
 
@@ -443,7 +447,7 @@
 
 #[test]
 fn repeated_reports_are_counted_once() {
-    let mut book = AllowanceBook::new(BOUNDS.window(), time(0), true);
+    let mut book = AllowanceCounter::new(BOUNDS.window(), time(0), true);
     let mut world = World::new(1, 40.0);
     let allowance = world.workspace.allowance.expect("it is limited");
     let (keeper, _) = keeper(1, 0);
--- a/lib/tests/cached.rs
+++ b/lib/tests/cached.rs
@@ -5,7 +5,7 @@
 
 use limpetferry_lib::cached::Cached;
 use limpetferry_lib::call::Part;
-use limpetferry_lib::criteria::Wish;
+use limpetferry_lib::criteria::Criteria;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::place::Places;
@@ -42,11 +42,11 @@
     }
 }
 
-fn turn(parts: &[Part]) -> Wish<'_> {
-    Wish {
+fn turn(parts: &[Part]) -> Criteria<'_> {
+    Criteria {
         parts,
         centre: "here",
-        ..Wish::default()
+        ..Criteria::default()
     }
 }
 
@@ -105,7 +105,7 @@
     second.take_places(Time::default(), &[place]);
 
     for draw in [0.0, 0.6] {
-        let wish = Wish {
+        let wish = Criteria {
             draw,
             ..turn(&next)
         };
--- a/lib/tests/dispatch_queue.rs
+++ b/lib/tests/dispatch_queue.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use limpetferry_lib::concurrency_limit::Concurrency;
+use limpetferry_lib::concurrency_limit::ConcurrencyLimit;
 use limpetferry_lib::dispatch_queue::DispatchQueue;
 use limpetferry_lib::dispatch_queue::QueueBounds;
 use limpetferry_lib::dispatch_queue::QueueRefusal;
-use limpetferry_lib::dispatch_queue::Waiting;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::dispatch_queue::QueuedRequest;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::time::Time;
 use proptest::prelude::*;
 use rand::SeedableRng as _;
@@ -38,8 +38,8 @@
 }
 
 /// Returns a call of a workspace that arrived at `since`, with a late deadline.
-fn call(workspace: &str, rank: u8, since: u64) -> Waiting {
-    Waiting {
+fn call(workspace: &str, rank: u8, since: u64) -> QueuedRequest {
+    QueuedRequest {
         workspace: Some(Arc::from(workspace)),
         rank,
         since: at(since),
@@ -49,7 +49,7 @@
     }
 }
 
-fn push<T>(queue: &mut DispatchQueue<T>, waiting: Waiting, owner: T) {
+fn push<T>(queue: &mut DispatchQueue<T>, waiting: QueuedRequest, owner: T) {
     let now = waiting.since;
     let pushed = queue.push(now, waiting, None, owner);
     assert!(pushed.is_ok_and(|pushed| pushed.displaced.is_empty()));
@@ -180,7 +180,7 @@
 struct Gateway {
     number: usize,
     queue: DispatchQueue<Call>,
-    limit: Concurrency,
+    limit: ConcurrencyLimit,
     paused: [u64; SERVERS],
 }
 
@@ -189,14 +189,14 @@
         Self {
             number,
             queue: queue(1_000),
-            limit: Concurrency::default(),
+            limit: ConcurrencyLimit::default(),
             paused: [0; SERVERS],
         }
     }
 
     /// Queues the call, and returns whether it was accepted.
     fn push(&mut self, now: u64, one: Call) -> bool {
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             until: at(one.due - WORK_MS),
             ..call("all", CHAT, now)
         };
@@ -204,7 +204,7 @@
         self.queue.push(at(now), waiting, rate, one).is_ok()
     }
 
-    fn end(&mut self, now: u64, sent: u64, outcome: Outcome) {
+    fn end(&mut self, now: u64, sent: u64, outcome: ServerOutcome) {
         let wait = self.queue.oldest(at(now));
         let places = (SERVERS * PLACES) as u32;
         self.limit.end(at(now), at(sent), outcome, places, wait);
@@ -231,7 +231,7 @@
             self.limit.begin();
             if !servers.takes(now, server, sent) {
                 self.paused[server] = now + PAUSE_MS;
-                self.end(now, now, Outcome::Full);
+                self.end(now, now, ServerOutcome::Full);
                 failed += usize::from(!self.push(now, one));
             }
         }
@@ -249,7 +249,7 @@
     let mut failed = 0;
     for now in 0..BURST_MS + 2 * PATIENCE_MS {
         for sent in servers.end(now) {
-            gateways[sent.gateway].end(now, sent.at, Outcome::Answered);
+            gateways[sent.gateway].end(now, sent.at, ServerOutcome::Answered);
         }
         for one in due(&mut scheduled, now) {
             let gateway = random.random_range(0..GATEWAYS);
@@ -333,7 +333,7 @@
 fn workspaces_with_long_and_short_calls_get_the_same_work_done() {
     let mut queue = queue(1_000);
     for number in 0..200 {
-        let long = Waiting {
+        let long = QueuedRequest {
             work: millis(50),
             ..call("long", CHAT, number)
         };
@@ -407,7 +407,7 @@
     let mut queue = queue(10);
     push(&mut queue, call("a", CHAT, 0), "first");
     push(&mut queue, call("a", CHAT, 0), "second");
-    let hasty = Waiting {
+    let hasty = QueuedRequest {
         until: at(100),
         ..call("a", CHAT, 0)
     };
@@ -453,7 +453,7 @@
 #[test]
 fn a_call_expires_when_its_time_left_is_shorter_than_its_work() {
     let mut queue = queue(10);
-    let waiting = Waiting {
+    let waiting = QueuedRequest {
         until: at(500),
         ..call("a", CHAT, 0)
     };
@@ -467,7 +467,7 @@
 #[test]
 fn a_call_that_cannot_be_served_in_time_is_refused_immediately() {
     let mut queue = queue(1_000);
-    let hasty = |workspace, until| Waiting {
+    let hasty = |workspace, until| QueuedRequest {
         until: at(until),
         ..call(workspace, CHAT, 0)
     };
@@ -506,7 +506,7 @@
 
 #[test]
 fn servers_that_refuse_nothing_are_not_limited() {
-    let mut limit = Concurrency::default();
+    let mut limit = ConcurrencyLimit::default();
 
     for _ in 0..10_000 {
         limit.begin();
@@ -518,21 +518,21 @@
 
 #[test]
 fn simultaneous_refusals_lower_the_limit_once() {
-    let mut limit = Concurrency::default();
+    let mut limit = ConcurrencyLimit::default();
     (0..100).for_each(|_| limit.begin());
 
-    (0..50).for_each(|_| limit.end(at(10), at(0), Outcome::Full, 72, Duration::ZERO));
+    (0..50).for_each(|_| limit.end(at(10), at(0), ServerOutcome::Full, 72, Duration::ZERO));
 
     assert!(limit.limit().is_some_and(|limit| limit > 50.0));
 }
 
 #[test]
 fn refusals_leave_room_for_one_request() {
-    let mut limit = Concurrency::default();
+    let mut limit = ConcurrencyLimit::default();
 
     for now in 0..100 {
         limit.begin();
-        limit.end(at(now), at(now), Outcome::Full, 72, Duration::ZERO);
+        limit.end(at(now), at(now), ServerOutcome::Full, 72, Duration::ZERO);
     }
 
     assert!(limit.has_room(0));
@@ -540,9 +540,9 @@
 
 #[test]
 fn requests_at_a_failed_server_do_not_block_requests_to_others() {
-    let mut limit = Concurrency::default();
+    let mut limit = ConcurrencyLimit::default();
     (0..10).for_each(|_| limit.begin());
-    limit.end(at(10), at(0), Outcome::Full, 72, Duration::ZERO);
+    limit.end(at(10), at(0), ServerOutcome::Full, 72, Duration::ZERO);
 
     assert!(!limit.has_room(0));
     assert!(limit.has_room(5));
@@ -550,19 +550,31 @@
 
 #[test]
 fn answers_raise_a_limit_that_is_reached_and_time_without_refusals_lifts_it() {
-    let mut limit = Concurrency::default();
+    let mut limit = ConcurrencyLimit::default();
     limit.begin();
-    limit.end(at(0), at(0), Outcome::Full, 72, Duration::ZERO);
+    limit.end(at(0), at(0), ServerOutcome::Full, 72, Duration::ZERO);
 
     for now in 0..200 {
         while limit.has_room(0) {
             limit.begin();
         }
-        limit.end(at(now), at(now), Outcome::Answered, 72, Duration::ZERO);
+        limit.end(
+            at(now),
+            at(now),
+            ServerOutcome::Answered,
+            72,
+            Duration::ZERO,
+        );
     }
 
     assert!(limit.limit().is_some_and(|limit| limit > 5.0));
-    limit.end(at(2_500), at(0), Outcome::Answered, 72, Duration::ZERO);
+    limit.end(
+        at(2_500),
+        at(0),
+        ServerOutcome::Answered,
+        72,
+        Duration::ZERO,
+    );
     limit.relax(at(2_500));
     assert_eq!(limit.limit(), None);
 }
@@ -600,7 +612,7 @@
             let now = number as u64 * 10;
             match step {
                 Step::Push(rank, name, time, bytes) => {
-                    let waiting = Waiting {
+                    let waiting = QueuedRequest {
                         until: at(now + u64::from(time)),
                         bytes,
                         ..call(&name.to_string(), rank, now)
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 use limpetferry_lib::call::Part;
-use limpetferry_lib::criteria::Connected;
+use limpetferry_lib::criteria::Criteria;
+use limpetferry_lib::criteria::IdleConnections;
 use limpetferry_lib::criteria::ServerKey;
-use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::fleet::Arrival;
 use limpetferry_lib::fleet::Fleet;
-use limpetferry_lib::fleet::LAPSE_WAIT;
+use limpetferry_lib::fleet::REGISTER_GRACE;
 use limpetferry_lib::load_report::ServerSample;
 use limpetferry_lib::server::Load;
-use limpetferry_lib::server::Outcome;
 use limpetferry_lib::server::Server;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::server::ServerState;
 use limpetferry_lib::switches::Switches;
 use limpetferry_lib::time::Time;
@@ -45,11 +45,11 @@
     fleet
 }
 
-fn wish(draw: f64) -> Wish<'static> {
-    Wish {
+fn wish(draw: f64) -> Criteria<'static> {
+    Criteria {
         centre: "here",
         draw,
-        ..Wish::default()
+        ..Criteria::default()
     }
 }
 
@@ -65,7 +65,7 @@
 fn fill_with<'a>(
     fleet: &mut Fleet,
     count: usize,
-    wish: impl Fn(f64) -> Wish<'a>,
+    wish: impl Fn(f64) -> Criteria<'a>,
 ) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for number in 0..count {
@@ -107,7 +107,7 @@
             tokens: 1_680,
         },
     ];
-    let with = |draw| Wish {
+    let with = |draw| Criteria {
         parts: &parts,
         ..wish(draw)
     };
@@ -130,7 +130,7 @@
         id: 1,
         tokens: 1_680,
     }];
-    let with = Wish {
+    let with = Criteria {
         parts: &parts,
         ..wish(0.0)
     };
@@ -175,14 +175,14 @@
     let mut fleet = fleet(20);
     report_all(&mut fleet, 10, 4, 10);
     let chain = [Part { id: 1, tokens: 600 }];
-    let with = |draw| Wish {
+    let with = |draw| Criteria {
         parts: &chain,
         ..wish(draw)
     };
     let current = fleet.key("server-0").expect("known server");
     let later = Time::default() + Duration::from_secs(5);
     fleet.begin(later, current, &with(0.0));
-    fleet.end(later, current, Outcome::Answered);
+    fleet.end(later, current, ServerOutcome::Answered);
     let busy = Load {
         running: 4,
         waiting: 0,
@@ -219,7 +219,7 @@
         id: 1,
         tokens: 12_000,
     }];
-    let with = |draw| Wish {
+    let with = |draw| Criteria {
         parts: &shared,
         ..wish(draw)
     };
@@ -228,7 +228,7 @@
             .key(&format!("server-{number}"))
             .expect("known server");
         fleet.begin(Time::default(), key, &with(0.0));
-        fleet.end(Time::default(), key, Outcome::Answered);
+        fleet.end(Time::default(), key, ServerOutcome::Answered);
     }
     report_all(&mut fleet, 20, 24, 10);
 
@@ -270,7 +270,7 @@
     let now = Time::default();
     let first = fleet.pick(now, "engine", &wish(0.0)).expect("a server");
     fleet.begin(Time::default(), first, &wish(0.0));
-    fleet.end(now, first, Outcome::Broken);
+    fleet.end(now, first, ServerOutcome::Broken);
 
     let soon = fleet.pick(now, "engine", &wish(0.0));
     let later = fleet.pick(Time::from_millis(500), "engine", &wish(0.0));
@@ -294,13 +294,13 @@
 #[test]
 fn lapsed_entries_are_kept_until_their_servers_had_time_to_register_again() {
     let mut fleet = fleet(2);
-    let until = Time::default() + LAPSE_WAIT;
+    let until = Time::default() + REGISTER_GRACE;
     fleet.lapse("server-0", until);
     fleet.lapse("server-1", until);
 
     let before = fleet.expire(Time::from_millis(1_900));
     fleet.put(server(1));
-    let after = fleet.expire(Time::default() + LAPSE_WAIT + Duration::from_millis(1));
+    let after = fleet.expire(Time::default() + REGISTER_GRACE + Duration::from_millis(1));
 
     assert!(before.is_empty());
     assert_eq!(
@@ -337,7 +337,7 @@
     }
 }
 
-impl Connected for EvenConnections {
+impl IdleConnections for EvenConnections {
     fn has(&self, server: ServerKey) -> bool {
         self.0.contains(&server)
     }
@@ -347,7 +347,7 @@
 fn an_idle_connection_is_preferred_among_equal_servers_but_not_to_a_free_server() {
     let mut fleet = fleet(8);
     let even = EvenConnections::new(&fleet);
-    let connected = Wish {
+    let connected = Criteria {
         connected: Some(&even),
         centre: "nowhere",
         ..wish(0.3)
@@ -384,7 +384,7 @@
         id: 1,
         tokens: 12_600,
     }];
-    let with = Wish {
+    let with = Criteria {
         parts: &parts,
         ..wish(0.0)
     };
@@ -393,12 +393,12 @@
     for _ in 0..4 {
         fleet.begin(Time::default(), old, &with);
     }
-    fleet.end(Time::default(), old, Outcome::Broken);
+    fleet.end(Time::default(), old, ServerOutcome::Broken);
 
     let arrival = fleet.put(server_started_at(2));
     let new = fleet.key("server-0").expect("known server");
     // The request at the earlier start ends only now.
-    fleet.end(Time::default(), old, Outcome::Broken);
+    fleet.end(Time::default(), old, ServerOutcome::Broken);
 
     assert_eq!(arrival, Arrival::Restarted);
     assert!(new != old && !fleet.takes(old) && !fleet.contains(old));
@@ -580,8 +580,8 @@
     for key in keys {
         fleet.begin(now, key, &wish(0.0));
     }
-    fleet.end(now, keys[0], Outcome::Answered);
-    fleet.end(now, keys[2], Outcome::Full);
+    fleet.end(now, keys[0], ServerOutcome::Answered);
+    fleet.end(now, keys[2], ServerOutcome::Full);
 
     let uses: Vec<_> = fleet.own_uses().collect();
 
@@ -599,7 +599,7 @@
     let refuse = |fleet: &mut Fleet, id| {
         let key = fleet.key(id).expect("known server");
         fleet.begin(now, key, &wish(0.0));
-        fleet.end(now, key, Outcome::Full);
+        fleet.end(now, key, ServerOutcome::Full);
     };
 
     refuse(&mut fleet, "server-0");
@@ -628,9 +628,9 @@
     for &key in &keys {
         fleet.begin(now, key, &wish(0.0));
     }
-    fleet.end(now, keys[0], Outcome::Silent);
+    fleet.end(now, keys[0], ServerOutcome::Silent);
     for &key in &keys[1..] {
-        fleet.end(now, key, Outcome::Full);
+        fleet.end(now, key, ServerOutcome::Full);
     }
 
     let room = fleet.room(now, "engine", None);
@@ -646,7 +646,7 @@
     for number in 1..4 {
         let full = key(&fleet, number).expect("known server");
         fleet.begin(now, full, &wish(0.0));
-        fleet.end(now, full, Outcome::Full);
+        fleet.end(now, full, ServerOutcome::Full);
     }
     let only = key(&fleet, 0).expect("known server");
 
@@ -736,7 +736,7 @@
     fleet.set_switches(WITH_REPORTS);
     let part = |id, tokens| Part { id, tokens };
     let prompt = [part(1, 12_000), part(2, 800), part(3, 300)];
-    let with = Wish {
+    let with = Criteria {
         parts: &prompt,
         ..wish(0.0)
     };
--- a/lib/tests/handoff.rs
+++ b/lib/tests/handoff.rs
@@ -10,11 +10,11 @@
 use limpetferry_lib::handoff::Handoff;
 use limpetferry_lib::handoff::Identity;
 use limpetferry_lib::handoff::OwnLoad;
-use limpetferry_lib::handoff_target::HopEnd;
+use limpetferry_lib::handoff_target::HopOutcome;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::turn_cost::Offer;
 use limpetferry_lib::turn_cost::Power;
+use limpetferry_lib::turn_cost::RequestSize;
 
 const WEAK: Power = Power {
     link_mbps: 22.0,
@@ -25,13 +25,13 @@
     cores: 0.5,
 };
 /// A turn with stored history, as a caller sends it.
-const TURN: Offer = Offer {
+const TURN: RequestSize = RequestSize {
     body: 17_000,
     kept: true,
     handed: false,
 };
 /// A tool call.
-const CALL: Offer = Offer {
+const CALL: RequestSize = RequestSize {
     body: 300,
     kept: false,
     handed: false,
@@ -244,7 +244,7 @@
 fn a_late_target_is_left_out_for_longer_each_time() {
     let mut weak = gateway(WEAK);
     let one = [other("strong", "a", STRONG)];
-    let late = HopEnd::Answered {
+    let late = HopOutcome::Answered {
         hop: Duration::from_millis(400),
         late: Duration::ZERO,
     };
@@ -271,7 +271,7 @@
 fn lateness_of_the_gateway_itself_does_not_pause_its_targets() {
     let mut weak = gateway(WEAK);
     let one = [other("strong", "a", STRONG)];
-    let by_own_work = HopEnd::Answered {
+    let by_own_work = HopOutcome::Answered {
         hop: Duration::from_millis(400),
         late: Duration::from_millis(200),
     };
@@ -286,13 +286,13 @@
 fn a_failed_target_is_used_again_once_it_has_answered_in_time() {
     let mut weak = gateway(WEAK);
     let one = [other("strong", "a", STRONG)];
-    let in_time = HopEnd::Answered {
+    let in_time = HopOutcome::Answered {
         hop: Duration::from_millis(2),
         late: Duration::ZERO,
     };
     chosen(&mut weak, NOW, IDLE, &one);
 
-    weak.end(NOW, "strong", HopEnd::Failed);
+    weak.end(NOW, "strong", HopOutcome::Failed);
     let after_failure = chosen(&mut weak, NOW, IDLE, &one);
     weak.end(NOW, "strong", in_time);
     let after_answer = chosen(&mut weak, NOW, IDLE, &one);
@@ -317,7 +317,7 @@
 fn a_request_that_was_handed_over_is_not_handed_over_again() {
     let mut weak = gateway(WEAK);
     let others = [other("strong", "a", STRONG)];
-    let handed = Offer {
+    let handed = RequestSize {
         handed: true,
         ..TURN
     };
--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -8,7 +8,7 @@
 use limpetferry_lib::call::Part;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::id::Boot;
-use limpetferry_lib::load_estimator::KnownLoads;
+use limpetferry_lib::load_estimator::LoadEstimator;
 use limpetferry_lib::load_estimator::OwnUse;
 use limpetferry_lib::load_map::LoadMap;
 use limpetferry_lib::load_map::MAX_SAMPLES;
@@ -20,9 +20,9 @@
 use limpetferry_lib::load_report::ServiceLoads as _;
 use limpetferry_lib::load_report::ServiceUse;
 use limpetferry_lib::place::Place;
-use limpetferry_lib::report_schedule::Duty;
-use limpetferry_lib::report_schedule::ReportTimes;
-use limpetferry_lib::request_rates::Counts;
+use limpetferry_lib::report_schedule::KeeperRole;
+use limpetferry_lib::report_schedule::ReportSchedule;
+use limpetferry_lib::request_rates::RequestCounts;
 use limpetferry_lib::server::Load;
 use limpetferry_lib::server::Server;
 use limpetferry_lib::server::ServerState;
@@ -127,8 +127,8 @@
     share: f64,
     /// Fraction of a request, so that gateways round their requests differently.
     fraction: f64,
-    known: KnownLoads,
-    times: [ReportTimes; 2],
+    known: LoadEstimator,
+    times: [ReportSchedule; 2],
 }
 
 impl Gateway {
@@ -144,9 +144,9 @@
         let own = OwnUse {
             service: "engine".into(),
             slots: 1_000,
-            counts: Counts {
+            counts: RequestCounts {
                 running: self.running(now),
-                ..Counts::default()
+                ..RequestCounts::default()
             },
         };
         self.known.set_own(at(now), [own]);
@@ -154,7 +154,11 @@
         let busy = self.known.requests() > 0;
         for (number, keeper) in keepers.iter_mut().enumerate() {
             let first = number == 0 || failed_over;
-            let duty = if first { Duty::First } else { Duty::Second };
+            let duty = if first {
+                KeeperRole::Primary
+            } else {
+                KeeperRole::Standby
+            };
             if !self.times[number].is_due(at(now), duty, busy, reporters) {
                 continue;
             }
@@ -183,7 +187,7 @@
             name: format!("gateway-{number}").into(),
             share: 300.0 / count as f64 * (0.5 + (number % 3) as f64 * 0.5),
             fraction: (number as f64 * 0.618).fract(),
-            known: KnownLoads::default(),
+            known: LoadEstimator::default(),
             times: Default::default(),
         })
         .collect();
@@ -244,15 +248,15 @@
 
 /// Returns the load as seen by a gateway without requests of its own, after an
 /// answer, requested at `requested_at`, with 10 requests of another gateway.
-fn known_loads(requested_at: u64) -> KnownLoads {
+fn known_loads(requested_at: u64) -> LoadEstimator {
     let mut map = LoadMap::default();
     map.take(at(0), &start("b", 1), &report("b", 10), &Fleet::default());
     let summary = map.take(at(0), &start("a", 1), &report("a", 0), &Fleet::default());
-    let mut known = KnownLoads::default();
+    let mut known = LoadEstimator::default();
     let own = OwnUse {
         service: "engine".into(),
         slots: 100,
-        counts: Counts::default(),
+        counts: RequestCounts::default(),
     };
     known.set_own(at(0), [own]);
     known.hear(&"keeper".into(), at(requested_at), summary);
@@ -511,7 +515,7 @@
     assert_eq!(others(&summary), u32::MAX);
     assert_eq!(summary.servers.len(), 1);
     assert_eq!(summary.gateways, []);
-    let mut known = KnownLoads::default();
+    let mut known = LoadEstimator::default();
     known.hear(&"keeper".into(), at(0), summary.clone());
     let mut fleet = fleet;
     fleet.hear_loads(at(0), &summary.servers);
@@ -524,11 +528,11 @@
 
 #[test]
 fn an_idle_gateway_reports_less_often() {
-    let mut times = ReportTimes::default();
+    let mut times = ReportSchedule::default();
     times.note(at(0), false);
 
-    let idle = times.is_due(at(500), Duty::First, false, 24);
-    let busy = times.is_due(at(100), Duty::First, true, 24);
+    let idle = times.is_due(at(500), KeeperRole::Primary, false, 24);
+    let busy = times.is_due(at(100), KeeperRole::Primary, true, 24);
 
     assert!(!idle);
     assert!(busy);
@@ -536,22 +540,22 @@
 
 #[test]
 fn the_end_of_the_last_request_is_reported_soon() {
-    let mut times = ReportTimes::default();
+    let mut times = ReportSchedule::default();
     times.note(at(0), true);
 
-    let due = times.is_due(at(100), Duty::First, false, 24);
+    let due = times.is_due(at(100), KeeperRole::Primary, false, 24);
 
     assert!(due);
 }
 
 #[test]
 fn many_gateways_report_less_often() {
-    let mut times = ReportTimes::default();
+    let mut times = ReportSchedule::default();
     times.note(at(0), true);
 
-    let few = times.is_due(at(100), Duty::First, true, 60);
-    let many = times.is_due(at(100), Duty::First, true, 810);
-    let late = times.is_due(at(500), Duty::Second, true, 810);
+    let few = times.is_due(at(100), KeeperRole::Primary, true, 60);
+    let many = times.is_due(at(100), KeeperRole::Primary, true, 810);
+    let late = times.is_due(at(500), KeeperRole::Standby, true, 810);
 
     assert!(few);
     assert!(!many);
--- a/lib/tests/load_shed.rs
+++ b/lib/tests/load_shed.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::load_shed::LoadShed;
+use limpetferry_lib::load_shed::LoadShedder;
 
 /// Turns of a program.
 const TURNS: u32 = 7;
@@ -32,7 +32,7 @@
 
 /// Simulates the burst, and returns how many programs were refused, in time and
 /// late.
-fn simulate(mut shed: Option<LoadShed>) -> (u32, u32, u32) {
+fn simulate(mut shed: Option<LoadShedder>) -> (u32, u32, u32) {
     let mut waiting: VecDeque<Turn> = VecDeque::new();
     let mut scheduled: Vec<Turn> = Vec::new();
     let mut next_timer = 0;
@@ -94,7 +94,7 @@
 #[test]
 fn a_gateway_that_refuses_first_turns_ends_more_programs_in_time() {
     let (_, good_without, late_without) = simulate(None);
-    let (refused, good, late) = simulate(Some(LoadShed::default()));
+    let (refused, good, late) = simulate(Some(LoadShedder::default()));
 
     println!("without: {good_without} in time, {late_without} late");
     println!("with: {good} in time, {late} late, {refused} refused");
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_gateway_with_spare_capacity_refuses_nobody() {
-    let mut shed = LoadShed::default();
+    let mut shed = LoadShedder::default();
     (0..100).for_each(|_| shed.observe(Duration::from_millis(20)));
 
     let admitted = shed.admit(&Arc::from("new"), true, 0.0);
@@ -117,7 +117,7 @@
 
 #[test]
 fn slow_keeper_answers_cause_shedding_until_they_decay() {
-    let mut shed = LoadShed::default();
+    let mut shed = LoadShedder::default();
     let new: Arc<str> = Arc::from("new");
     (0..20).for_each(|_| shed.observe_answer(Duration::from_millis(300)));
     let during = shed.admit(&new, true, 0.5);
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_program_that_has_begun_continues() {
-    let mut shed = LoadShed::default();
+    let mut shed = LoadShedder::default();
     let program: Arc<str> = Arc::from("begun");
     assert!(shed.admit(&program, true, 0.0).is_ok());
     (0..100).for_each(|_| shed.observe(Duration::from_secs(1)));
--- a/lib/tests/opening.rs
+++ b/lib/tests/opening.rs
@@ -5,41 +5,41 @@
 
 use assert_matches::assert_matches;
 use limpetferry_lib::ledger::Presence;
-use limpetferry_lib::ledger::Share;
+use limpetferry_lib::ledger::TurnUsage;
 use limpetferry_lib::membership::Membership;
-use limpetferry_lib::turn_admission::Opening;
-use limpetferry_lib::turn_admission::Step;
-use limpetferry_lib::turn_admission::Verdict;
-use limpetferry_lib::turn_admission::View;
+use limpetferry_lib::turn_admission::NextAction;
+use limpetferry_lib::turn_admission::ReplicaEvent;
+use limpetferry_lib::turn_admission::ReplicaView;
+use limpetferry_lib::turn_admission::TurnAdmission;
 
 const BUDGET: u64 = 60;
 const MOST: u64 = 30;
 
-fn opening() -> Opening {
+fn opening() -> TurnAdmission {
     let mut list = Membership::default();
     for number in 0..3_u16 {
         let address = ([10, 0, 0, 1], 7_000 + number).into();
         let name = format!("keeper-{number}");
         list = list.join(&name, address, 1).expect("it is new");
     }
-    Opening::new(list.replicas("program", 1), Some(BUDGET), MOST)
+    TurnAdmission::new(list.replicas("program", 1), Some(BUDGET), MOST)
 }
 
-fn view(others: &[&str]) -> View {
-    let share = |turn: &&str| Share {
+fn view(others: &[&str]) -> ReplicaView {
+    let share = |turn: &&str| TurnUsage {
         turn: Arc::from(*turn),
         tokens: MOST,
         ended: false,
     };
-    View {
+    ReplicaView {
         whole: true,
         shares: others.iter().map(share).collect(),
         previous: Presence::Never,
     }
 }
 
-fn noted(others: &[&str]) -> Step {
-    Step::Noted(view(others))
+fn noted(others: &[&str]) -> ReplicaEvent {
+    ReplicaEvent::Noted(view(others))
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let mut turns = [opening(), opening(), opening()];
     let others = ["second", "third", "first"];
 
-    let verdicts: Vec<Verdict> = turns
+    let verdicts: Vec<NextAction> = turns
         .iter_mut()
         .zip(others)
         .map(|(turn, other)| {
@@ -59,11 +59,11 @@
         })
         .collect();
 
-    assert_eq!(verdicts, [Verdict::Ask; 3]);
+    assert_eq!(verdicts, [NextAction::Ask; 3]);
     for turn in &mut turns {
-        turn.step(0, Step::Seen(view(&["a", "b"])));
-        let verdict = turn.step(1, Step::Seen(view(&["a", "b"])));
-        assert_matches!(verdict, Verdict::Spent);
+        turn.step(0, ReplicaEvent::Seen(view(&["a", "b"])));
+        let verdict = turn.step(1, ReplicaEvent::Seen(view(&["a", "b"])));
+        assert_matches!(verdict, NextAction::Spent);
     }
 }
 
@@ -72,16 +72,16 @@
     let mut turn = opening();
     turn.step(0, noted(&[]));
     turn.step(1, noted(&["other"]));
-    turn.step(0, Step::Seen(view(&["other"])));
-    let go = turn.step(1, Step::Seen(view(&["other"])));
+    turn.step(0, ReplicaEvent::Seen(view(&["other"])));
+    let go = turn.step(1, ReplicaEvent::Seen(view(&["other"])));
     turn.step(2, noted(&[]));
 
-    turn.step(1, Step::Synced);
-    turn.step(2, Step::Synced);
+    turn.step(1, ReplicaEvent::Synced);
+    turn.step(2, ReplicaEvent::Synced);
     let before = turn.is_durable();
-    turn.step(2, Step::Seen(view(&["other"])));
+    turn.step(2, ReplicaEvent::Seen(view(&["other"])));
 
-    assert_matches!(go, Verdict::Go);
+    assert_matches!(go, NextAction::Go);
     assert!(!before);
     assert!(turn.is_durable());
 }
@@ -91,13 +91,13 @@
     let mut turn = opening();
     turn.step(0, noted(&[]));
     turn.step(1, noted(&[]));
-    turn.step(0, Step::Synced);
+    turn.step(0, ReplicaEvent::Synced);
 
-    turn.step(0, Step::Lost);
-    turn.step(1, Step::Synced);
+    turn.step(0, ReplicaEvent::Lost);
+    turn.step(1, ReplicaEvent::Synced);
     let before = turn.is_durable();
     turn.step(0, noted(&[]));
-    turn.step(0, Step::Synced);
+    turn.step(0, ReplicaEvent::Synced);
 
     assert!(!before);
     assert!(turn.is_durable());
@@ -108,10 +108,10 @@
     let mut turn = opening();
     turn.step(0, noted(&[]));
 
-    turn.step(0, Step::Lost);
+    turn.step(0, ReplicaEvent::Lost);
     let verdict = turn.step(1, noted(&[]));
 
-    assert_matches!(verdict, Verdict::Wait);
+    assert_matches!(verdict, NextAction::Wait);
 }
 
 #[test]
@@ -119,13 +119,13 @@
     let mut turn = opening();
     let mut lacking = view(&[]);
     lacking.whole = false;
-    turn.step(0, Step::Noted(lacking));
+    turn.step(0, ReplicaEvent::Noted(lacking));
 
     let two = turn.step(1, noted(&[]));
     let three = turn.step(2, noted(&[]));
 
-    assert_matches!(two, Verdict::Wait);
-    assert_matches!(three, Verdict::Go);
+    assert_matches!(two, NextAction::Wait);
+    assert_matches!(three, NextAction::Go);
 }
 
 #[test]
@@ -136,7 +136,7 @@
     ended.shares[0].ended = true;
     turn.step(0, noted(&["other"]));
 
-    let verdict = turn.step(1, Step::Noted(ended));
+    let verdict = turn.step(1, ReplicaEvent::Noted(ended));
 
-    assert_matches!(verdict, Verdict::Go);
+    assert_matches!(verdict, NextAction::Go);
 }
--- a/lib/tests/outlier.rs
+++ b/lib/tests/outlier.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use limpetferry_lib::criteria::Criteria;
 use limpetferry_lib::criteria::ServerKey;
-use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::outlier::Health;
-use limpetferry_lib::server::Outcome;
 use limpetferry_lib::server::Server;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::server::ServerState;
 use limpetferry_lib::time::Time;
 
@@ -46,7 +46,7 @@
 /// Sends requests for three seconds and returns the number at each server.
 fn serve(fleet: &mut Fleet, behaviour: impl Fn(&str, Time) -> Behaviour) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
-    let mut running: Vec<(Time, ServerKey, Outcome)> = Vec::new();
+    let mut running: Vec<(Time, ServerKey, ServerOutcome)> = Vec::new();
     let mut now = Time::default();
     for number in 0..1_500_u32 {
         now = now + INTERVAL;
@@ -55,10 +55,10 @@
         for (end, key, outcome) in Vec::from_iter::<Vec<_>>(over) {
             fleet.end(end, key, outcome);
         }
-        let wish = Wish {
+        let wish = Criteria {
             centre: "here",
             draw: f64::from(number * 7 % 60) / 60.0,
-            ..Wish::default()
+            ..Criteria::default()
         };
         let key = fleet.pick(now, "tool", &wish).expect("a server");
         let id = fleet.server(key).expect("known server").id.to_string();
@@ -66,10 +66,10 @@
         running.push(match behaviour(&id, now) {
             Behaviour::Answer => {
                 fleet.plain_end(now, key, &work, WORK);
-                (now + WORK, key, Outcome::Answered)
+                (now + WORK, key, ServerOutcome::Answered)
             }
-            Behaviour::Fail => (now + INTERVAL, key, Outcome::Failed),
-            Behaviour::Hang => (now + Duration::from_secs(3), key, Outcome::Abandoned),
+            Behaviour::Fail => (now + INTERVAL, key, ServerOutcome::Failed),
+            Behaviour::Hang => (now + Duration::from_secs(3), key, ServerOutcome::Abandoned),
         });
         *counts.entry(id).or_insert(0) += 1;
     }
--- a/lib/tests/overload.rs
+++ b/lib/tests/overload.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use limpetferry_lib::load_report::ServiceEstimate;
-use limpetferry_lib::load_shed::LoadShed;
-use limpetferry_lib::overload::Arrival;
-use limpetferry_lib::overload::Overload;
-use limpetferry_lib::overload::Refused;
-use limpetferry_lib::overload::Strain;
+use limpetferry_lib::load_shed::LoadShedder;
+use limpetferry_lib::overload::Congestion;
+use limpetferry_lib::overload::OverloadControl;
+use limpetferry_lib::overload::ProgramRefusal;
+use limpetferry_lib::overload::TurnArrival;
 use limpetferry_lib::time::Time;
 use proptest::prelude::prop_assert;
 use proptest::proptest;
@@ -128,7 +128,8 @@
     let names: Vec<Arc<str>> = (0..100).map(|at| format!("w{at}").into()).collect();
     let time_limit = (IDLE_MS as f64 * scenario.time_factor) as u64;
     let mut draws = Draws(7);
-    let mut controls: Vec<(Overload, LoadShed)> = vec![Default::default(); scenario.gateways];
+    let mut controls: Vec<(OverloadControl, LoadShedder)> =
+        vec![Default::default(); scenario.gateways];
     let mut own = vec![0_usize; scenario.gateways];
     let mut reported = own.clone();
     let mut programs: Vec<Program> = Vec::new();
@@ -203,7 +204,7 @@
             let remaining =
                 Duration::from_millis((program.started + time_limit).saturating_sub(now));
             let name: Arc<str> = id.to_string().into();
-            let arrival = Arrival {
+            let arrival = TurnArrival {
                 program: &name,
                 first: program.turn == 0,
                 linked: true,
@@ -216,7 +217,7 @@
             let (overload, shed) = &mut controls[gateway];
             let admitted = overload.admit(time, shed, &arrival, draws.next());
             match admitted {
-                Err(Refused::Service(after)) if scenario.enforced => {
+                Err(ProgramRefusal::Service(after)) if scenario.enforced => {
                     simulation.retries.push((after, remaining));
                     program.tries += 1;
                     if program.tries <= 1 {
@@ -245,7 +246,7 @@
     simulation
 }
 
-fn strain(all: usize, ended: usize, now: u64) -> Strain {
+fn strain(all: usize, ended: usize, now: u64) -> Congestion {
     let estimate = ServiceEstimate {
         slots: SLOTS as f64,
         running: all.min(SLOTS) as f64,
@@ -254,7 +255,7 @@
         age: Duration::from_millis(REPORT_INTERVAL_MS),
     };
     let slower = SLOWDOWN_MS as f64 * estimate.utilization().min(1.0);
-    Strain::new(&estimate, Duration::from_secs_f64(slower / 1_000.0))
+    Congestion::new(&estimate, Duration::from_secs_f64(slower / 1_000.0))
 }
 
 fn uniform(_: u64, _: &mut Draws) -> Kind {
@@ -377,8 +378,8 @@
 }
 
 /// Returns a gateway for which a service is far beyond its capacity since `at`.
-fn overloaded(at: Time) -> (Overload, LoadShed) {
-    let (mut overload, mut shed) = (Overload::default(), LoadShed::default());
+fn overloaded(at: Time) -> (OverloadControl, LoadShedder) {
+    let (mut overload, mut shed) = (OverloadControl::default(), LoadShedder::default());
     let service: Arc<str> = "engines".into();
     for number in 0..100 {
         let name: Arc<str> = format!("before{number}").into();
@@ -391,8 +392,8 @@
     (overload, shed)
 }
 
-fn arrival<'a>(program: &'a Arc<str>, service: &'a Arc<str>) -> Arrival<'a> {
-    Arrival {
+fn arrival<'a>(program: &'a Arc<str>, service: &'a Arc<str>) -> TurnArrival<'a> {
+    TurnArrival {
         program,
         first: true,
         linked: true,
@@ -410,11 +411,11 @@
     let now = Time::from_millis(1_100);
     let service: Arc<str> = "engines".into();
     let (known, new): (Arc<str>, Arc<str>) = ("before7".into(), "new".into());
-    let later = Arrival {
+    let later = TurnArrival {
         first: false,
         ..arrival(&new, &service)
     };
-    let unlinked = Arrival {
+    let unlinked = TurnArrival {
         linked: false,
         ..arrival(&new, &service)
     };
@@ -424,7 +425,7 @@
     let unknown = overload.admit(now, &mut shed, &unlinked, 0.0);
     let continued = overload.admit(now, &mut shed, &later, 0.0);
 
-    assert!(matches!(refused, Err(Refused::Service(_))));
+    assert!(matches!(refused, Err(ProgramRefusal::Service(_))));
     assert!(known_again.is_ok() && continued.is_ok());
     assert!(unknown.is_ok(), "it may be a later turn of a program");
 }
@@ -447,7 +448,7 @@
 
 #[test]
 fn a_gateway_that_has_just_started_admits_all() {
-    let (mut overload, mut shed) = (Overload::default(), LoadShed::default());
+    let (mut overload, mut shed) = (OverloadControl::default(), LoadShedder::default());
     let service: Arc<str> = "engines".into();
     let (first, second): (Arc<str>, Arc<str>) = ("first".into(), "second".into());
     let _ = overload.admit(Time::default(), &mut shed, &arrival(&first, &service), 0.0);
@@ -461,14 +462,14 @@
 
 #[test]
 fn a_late_gateway_asks_callers_to_retry_elsewhere_immediately() {
-    let (mut overload, mut shed) = (Overload::default(), LoadShed::default());
+    let (mut overload, mut shed) = (OverloadControl::default(), LoadShedder::default());
     let service: Arc<str> = "engines".into();
     let new: Arc<str> = "new".into();
     (0..100).for_each(|_| shed.observe(Duration::from_secs(1)));
 
     let refused = overload.admit(Time::default(), &mut shed, &arrival(&new, &service), 0.5);
 
-    let Err(Refused::Gateway(after)) = refused else {
+    let Err(ProgramRefusal::Gateway(after)) = refused else {
         panic!("{refused:?}");
     };
     assert!(after <= Duration::from_millis(100));
@@ -482,15 +483,15 @@
     let service: Arc<str> = "engines".into();
     let cases = [(0.9, 1, true), (0.9, 10, false), (0.3, 1, false)];
     for (utilization, slack, refuses) in cases {
-        let slow = Strain {
+        let slow = Congestion {
             delay: Duration::from_millis(400),
             utilization,
             drain: Duration::from_millis(600),
         };
-        let (mut overload, mut shed) = (Overload::default(), LoadShed::default());
+        let (mut overload, mut shed) = (OverloadControl::default(), LoadShedder::default());
         for number in 0..100 {
             let name: Arc<str> = number.to_string().into();
-            let first = Arrival {
+            let first = TurnArrival {
                 remaining: Some(Duration::from_secs(slack)),
                 ..arrival(&name, &service)
             };
@@ -523,13 +524,13 @@
         let service: Arc<str> = "engines".into();
         overload.observe(now, &service, Some(strain(4 * SLOTS, ended, 1_000)));
         let new: Arc<str> = "new".into();
-        let tight = Arrival {
+        let tight = TurnArrival {
             remaining: Some(Duration::from_millis(remaining)),
             patience: Duration::from_millis(patience),
             ..arrival(&new, &service)
         };
 
-        if let Err(Refused::Service(after)) = overload.admit(now, &mut shed, &tight, draw) {
+        if let Err(ProgramRefusal::Service(after)) = overload.admit(now, &mut shed, &tight, draw) {
             prop_assert!(after <= Duration::from_millis(remaining.min(patience)) / 3);
             prop_assert!(after <= Duration::from_secs(2));
         }
--- a/lib/tests/pace.rs
+++ b/lib/tests/pace.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 
 use limpetferry_lib::call::Part;
+use limpetferry_lib::criteria::Criteria;
 use limpetferry_lib::criteria::ServerKey;
-use limpetferry_lib::criteria::Wish;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::pace::Pace;
 use limpetferry_lib::pace::PaceChange;
 use limpetferry_lib::pace::WaitKey;
 use limpetferry_lib::server::Load;
-use limpetferry_lib::server::Outcome;
 use limpetferry_lib::server::Server;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::server::ServerState;
+use limpetferry_lib::service_time::RequestConditions;
 use limpetferry_lib::service_time::Span;
-use limpetferry_lib::service_time::Work;
 use limpetferry_lib::switches::Switches;
 use limpetferry_lib::time::Time;
 use rand::Rng as _;
@@ -85,7 +85,7 @@
 struct Running {
     gateway: usize,
     key: ServerKey,
-    work: Work,
+    work: RequestConditions,
     sent: Time,
     end: Time,
     wait: Option<WaitKey>,
@@ -175,7 +175,7 @@
                 fleet.end_wait(one.key, wait);
             }
             fleet.plain_end(now, one.key, &one.work, took);
-            fleet.end(now, one.key, Outcome::Answered);
+            fleet.end(now, one.key, ServerOutcome::Answered);
             self.changes.extend(fleet.pace_changes());
             self.times.push(took);
         }
@@ -189,10 +189,10 @@
                 self.report(gateway, key.expect("known server"));
             }
         }
-        let wish = Wish {
+        let wish = Criteria {
             centre: "here",
             draw: self.rng.random(),
-            ..Wish::default()
+            ..Criteria::default()
         };
         let key = self.fleets[gateway].pick(self.now, "tool", &wish);
         let key = key.expect("a server");
@@ -353,7 +353,7 @@
     simulation.rest(SECOND);
     let slow = simulation.fleets[0].key("server-0").expect("known server");
     let sent = simulation.now;
-    let wish = Wish::default();
+    let wish = Criteria::default();
     let others = ["server-1", "server-2", "server-3"];
     let others = others.map(|id| simulation.fleets[0].key(id).expect("known server"));
     let fleet = &mut simulation.fleets[0];
@@ -367,7 +367,7 @@
         let work = fleet.begin(later, key, &wish);
         let wait = fleet.begin_wait(later, key, &work, Span::Whole);
         fleet.end_wait(key, wait.expect("paces count"));
-        fleet.end(later, key, Outcome::Answered);
+        fleet.end(later, key, ServerOutcome::Answered);
     }
     let after_others = fleet.pace_summary(overdue, "tool").expect("paces count");
 
@@ -473,10 +473,10 @@
         ..Load::default()
     };
     let pick = |fleet: &Fleet, millis| {
-        let wish = Wish {
+        let wish = Criteria {
             object: None,
             centre: "here",
-            ..Wish::default()
+            ..Criteria::default()
         };
         fleet.pick(Time::from_millis(millis), "tool", &wish)
     };
@@ -484,7 +484,7 @@
 
     let at_once = pick(&fleet, 10);
     let other = fleet.key("server-1").expect("known server");
-    fleet.begin(Time::from_millis(10), other, &Wish::default());
+    fleet.begin(Time::from_millis(10), other, &Criteria::default());
     let later = pick(&fleet, 2_000);
 
     assert_eq!((at_once, later), (Some(other), Some(key)));
@@ -525,11 +525,11 @@
     fleet.put(server(9, "other"));
 
     let picked = [0.0, 0.85, 0.95].map(|draw| {
-        let wish = Wish {
+        let wish = Criteria {
             tried: &known,
             centre: "here",
             draw,
-            ..Wish::default()
+            ..Criteria::default()
         };
         fleet.pick(simulation.now, "tool", &wish)
     });
@@ -546,10 +546,10 @@
         id: 1,
         tokens: 3_000,
     }];
-    let wish = Wish {
+    let wish = Criteria {
         parts: &parts,
         centre: "here",
-        ..Wish::default()
+        ..Criteria::default()
     };
     for number in 0..200_u32 {
         let id = format!("server-{}", number % 2);
@@ -566,7 +566,7 @@
         let rest = Duration::from_millis(80).mul_f64(factor);
         now = now + rest;
         fleet.stream_end(now, key, &work, rest, 9);
-        fleet.end(now, key, Outcome::Answered);
+        fleet.end(now, key, ServerOutcome::Answered);
     }
     (fleet, now)
 }
@@ -620,7 +620,7 @@
     let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, |_, _| 1.0);
     simulation.run(2 * SECOND, GAP);
     let key = simulation.fleets[0].key("server-0").expect("known server");
-    let wish = Wish::default();
+    let wish = Criteria::default();
     let work = simulation.fleets[0].begin(simulation.now, key, &wish);
     let wait = simulation.fleets[0].begin_wait(simulation.now, key, &work, Span::Whole);
     assert!(wait.is_some());
@@ -661,14 +661,14 @@
     let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, |_, _| 1.0);
     simulation.run(2 * SECOND, GAP);
     let key = simulation.fleets[0].key("server-0").expect("known server");
-    let wish = Wish::default();
+    let wish = Criteria::default();
 
     for _ in 0..3 {
         let work = simulation.fleets[0].begin(simulation.now, key, &wish);
         let wait = simulation.fleets[0].begin_wait(simulation.now, key, &work, Span::Whole);
         let end = simulation.now + SECOND;
         simulation.fleets[0].give_up(end, key, wait.expect("paces count"));
-        simulation.fleets[0].end(end, key, Outcome::Abandoned);
+        simulation.fleets[0].end(end, key, ServerOutcome::Abandoned);
     }
 
     let later = simulation.now + SECOND;
@@ -691,7 +691,7 @@
     assert_eq!(with, without);
     let mut fleet = fleet(1, false);
     let key = fleet.key("server-0").expect("known server");
-    let work = fleet.begin(Time::default(), key, &Wish::default());
+    let work = fleet.begin(Time::default(), key, &Criteria::default());
     assert_eq!(
         fleet.begin_wait(Time::default(), key, &work, Span::Whole),
         None
--- a/lib/tests/service_time.rs
+++ b/lib/tests/service_time.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use limpetferry_lib::service_time::RequestConditions;
 use limpetferry_lib::service_time::ServiceTime;
-use limpetferry_lib::service_time::Work;
 
 /// An engine that prefills `per_ms` prompt tokens in a ms, interleaved with the
 /// decoding of other requests.
@@ -14,20 +14,20 @@
 }
 
 impl Engine {
-    fn first(&self, work: &Work, noise: f64) -> Duration {
+    fn first(&self, work: &RequestConditions, noise: f64) -> Duration {
         let read = work.cold as f64 / self.per_ms;
         let others = work.others * 2.0;
         Duration::from_secs_f64((10.0 + read + others) * noise / 1_000.0)
     }
 
-    fn rest(&self, work: &Work, events: u64) -> Duration {
+    fn rest(&self, work: &RequestConditions, events: u64) -> Duration {
         let each = self.event_ms * (1.0 + work.others / 48.0);
         Duration::from_secs_f64(each * (events - 1) as f64 / 1_000.0)
     }
 }
 
-fn work(cold: u64, others: f64) -> Work {
-    Work {
+fn work(cold: u64, others: f64) -> RequestConditions {
+    RequestConditions {
         cold,
         others,
         slots: 48.0,
@@ -123,7 +123,7 @@
 fn times_of_plain_requests_are_learned() {
     let mut times = ServiceTime::default();
     for number in 0..400_u64 {
-        let work = Work {
+        let work = RequestConditions {
             cold: 0,
             others: (number % 6) as f64,
             slots: 6.0,
@@ -132,7 +132,7 @@
         times.learn_plain(&work, Duration::from_secs_f64(took / 1_000.0));
     }
 
-    let alone = times.plain_cost(&Work {
+    let alone = times.plain_cost(&RequestConditions {
         cold: 0,
         others: 0.0,
         slots: 6.0,
--- a/lib/tests/store_watch.rs
+++ b/lib/tests/store_watch.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use limpetferry_lib::store_watch::HOLD;
-use limpetferry_lib::store_watch::MOST_HOLD;
+use limpetferry_lib::store_watch::DEFAULT_HOLD;
+use limpetferry_lib::store_watch::MAX_HOLD;
 use limpetferry_lib::store_watch::StoreWatch;
 use limpetferry_lib::time::Time;
 
@@ -27,7 +27,7 @@
 fn a_watch_that_an_outage_swallowed_ends_before_the_store_counts_as_calm() {
     for outage in [50, 1_000, 4_500, 9_000] {
         for sent in (0..=outage).step_by(50) {
-            let limit = watch(sent, HOLD).limit();
+            let limit = watch(sent, DEFAULT_HOLD).limit();
 
             let relied_on = Time::from_millis(outage) + STORE_RELIED_ON;
             assert!(
@@ -40,16 +40,16 @@
 
 #[test]
 fn the_timeout_allows_for_a_slow_store() {
-    let limit = watch(1_000, HOLD).limit();
+    let limit = watch(1_000, DEFAULT_HOLD).limit();
 
-    assert!(limit >= Time::from_millis(1_000) + HOLD + SLOW_ANSWER);
+    assert!(limit >= Time::from_millis(1_000) + DEFAULT_HOLD + SLOW_ANSWER);
 }
 
 // Guards against a lost call that delays changes which other processes have
 // received already.
 #[test]
 fn a_watch_that_brings_less_than_others_know_ends_in_time_for_the_change() {
-    let mut watch = watch(0, MOST_HOLD);
+    let mut watch = watch(0, MAX_HOLD);
     let reported = Time::from_millis(5_000);
 
     watch.note_revision(reported, 8);
@@ -62,10 +62,10 @@
 
 #[test]
 fn the_timeout_is_not_shortened_while_no_process_reports_a_later_revision() {
-    let mut watch = watch(0, MOST_HOLD);
+    let mut watch = watch(0, MAX_HOLD);
 
     watch.note_revision(Time::from_millis(5_000), 7);
 
     assert!(!watch.is_behind());
-    assert!(watch.limit() >= Time::from_millis(0) + MOST_HOLD);
+    assert!(watch.limit() >= Time::from_millis(0) + MAX_HOLD);
 }
--- a/lib/tests/support/backend.rs
+++ b/lib/tests/support/backend.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use limpetferry_lib::effect::Work;
+use limpetferry_lib::effect::BackendRequest;
 use limpetferry_lib::history::Turn;
 use limpetferry_lib::id::CallId;
 use limpetferry_lib::id::NodeId;
 use limpetferry_lib::id::ProgramId;
 use limpetferry_lib::outcome::Answer;
 use limpetferry_lib::program::Target;
-use limpetferry_lib::side::BackendEnd;
+use limpetferry_lib::side::BackendResult;
 use limpetferry_lib::side::Event;
 
 /// Tokens in each answer of a model.
@@ -64,7 +64,7 @@
 
 impl Backends {
     /// Starts a call. It counts as run from now on.
-    pub fn start(&mut self, side: (NodeId, u64), call: CallId, attempt: u64, work: Work) {
+    pub fn start(&mut self, side: (NodeId, u64), call: CallId, attempt: u64, work: BackendRequest) {
         *self.counts.entry(call).or_default() += 1;
         let model = matches!(work.target, Target::Model(_));
         if model {
@@ -114,7 +114,7 @@
             return (node, boot, event);
         }
         let run = self.pending.remove(index);
-        let end = BackendEnd::Answer(run.answer);
+        let end = BackendResult::Answer(run.answer);
         (node, boot, Event::BackendDone { call, attempt, end })
     }
 
@@ -124,7 +124,7 @@
         let event = Event::BackendDone {
             call: run.call,
             attempt: run.attempt,
-            end: BackendEnd::Failed,
+            end: BackendResult::Failed,
         };
         (run.side.0, run.side.1, event)
     }
--- a/lib/tests/support/caller.rs
+++ b/lib/tests/support/caller.rs
@@ -20,7 +20,7 @@
 use limpetferry_lib::message::Request;
 use limpetferry_lib::outcome::Ran;
 use limpetferry_lib::program::CallRequest;
-use limpetferry_lib::program::Supply;
+use limpetferry_lib::program::HistoryMode;
 use limpetferry_lib::program::Target;
 use limpetferry_lib::program::Urgency;
 
@@ -352,7 +352,7 @@
         deployment: Deployment::new("dep"),
         target,
         idempotent: call.model,
-        supply: Supply::Append(None),
+        supply: HistoryMode::Append(None),
         turns,
         body: Vec::new(),
         tokens: 20,
--- a/lib/tests/support/world.rs
+++ b/lib/tests/support/world.rs
@@ -134,7 +134,7 @@
                 format!("{effect:?}").replace(&format!("{other:?}"), &short(format!("{other:?}"))),
             )),
         },
-        Effect::Chunk { .. } | Effect::Note(_) => None,
+        Effect::Chunk { .. } | Effect::Log(_) => None,
         other => Some(short(format!("{other:?}"))),
     }
 }
@@ -347,7 +347,7 @@
                     let request = StoreRequest::Swap(revision, value);
                     self.store.enqueue(id.clone(), request);
                 }
-                Effect::Reread { .. } => {
+                Effect::ReadBlock { .. } => {
                     self.store.enqueue(id.clone(), StoreRequest::Read);
                 }
                 Effect::Start {
@@ -363,7 +363,7 @@
                     self.backends.caches.remove(&(id.clone(), program));
                 }
                 Effect::Store(record) => self.processes[index].disk.push(*record),
-                Effect::Note(_) => {}
+                Effect::Log(_) => {}
             }
         }
     }
@@ -439,7 +439,7 @@
             Action::LoseReply(pick) => self.store.lost_replies = u32::from(pick % 2),
             Action::Leave(pick) => {
                 let index = ENTRIES + usize::from(pick) % SIDES;
-                self.side_event(index, side::Event::Leave);
+                self.side_event(index, side::Event::ShutDown);
             }
             Action::DuplicateNotification(pick) => self.duplicate_notification(pick),
             Action::FailRun(pick) => self.fail_run(pick),
--- a/lib/tests/tenants.rs
+++ b/lib/tests/tenants.rs
@@ -21,14 +21,14 @@
 use limpetferry_lib::id::Service;
 use limpetferry_lib::member::Node;
 use limpetferry_lib::member::Role;
-use limpetferry_lib::message::Judgement;
 use limpetferry_lib::message::Message;
 use limpetferry_lib::message::OpenRequest;
+use limpetferry_lib::message::OutcomeDecision;
 use limpetferry_lib::message::ProgramRequest;
 use limpetferry_lib::message::Reply;
 use limpetferry_lib::message::Request;
 use limpetferry_lib::program::CallRequest;
-use limpetferry_lib::program::Supply;
+use limpetferry_lib::program::HistoryMode;
 use limpetferry_lib::program::Target;
 use limpetferry_lib::program::Urgency;
 use limpetferry_lib::rules::Rules;
@@ -186,7 +186,7 @@
             path: "/".into(),
         },
         idempotent: false,
-        supply: Supply::Append(None),
+        supply: HistoryMode::Append(None),
         turns: Vec::new(),
         body: Vec::new(),
         tokens: 0,
@@ -196,7 +196,7 @@
 }
 
 fn judgement(operator: &str) -> Request {
-    Request::Judge(Judgement {
+    Request::Judge(OutcomeDecision {
         program: PROGRAM,
         operator: Operator::new(operator),
         call: CallId(5),
--- a/lib/tests/turn_world/mod.rs
+++ b/lib/tests/turn_world/mod.rs
@@ -13,13 +13,13 @@
 use limpetferry_lib::ledger::Ledger;
 use limpetferry_lib::ledger::Presence;
 use limpetferry_lib::ledger::Record;
+use limpetferry_lib::membership::MemberState;
 use limpetferry_lib::membership::Membership;
-use limpetferry_lib::membership::Standing;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::turn_admission::Opening;
-use limpetferry_lib::turn_admission::Step;
-use limpetferry_lib::turn_admission::Verdict;
-use limpetferry_lib::turn_admission::View;
+use limpetferry_lib::turn_admission::NextAction;
+use limpetferry_lib::turn_admission::ReplicaEvent;
+use limpetferry_lib::turn_admission::ReplicaView;
+use limpetferry_lib::turn_admission::TurnAdmission;
 
 /// Number of turns after which a new program starts, since the budget of the
 /// previous one is nearly used up.
@@ -101,8 +101,8 @@
     Note(Begin),
     Look,
     End(Option<Begin>, Finish),
-    Noted(View),
-    Seen(View),
+    Noted(ReplicaView),
+    Seen(ReplicaView),
     Synced,
     EndSynced,
     StartMissing,
@@ -150,8 +150,8 @@
         self.up = true;
     }
 
-    fn view(&self, begin: &Begin) -> View {
-        View {
+    fn view(&self, begin: &Begin) -> ReplicaView {
+        ReplicaView {
             whole: self.complete,
             shares: self.ledger.shares(&begin.program, &begin.turn),
             previous: Presence::Never,
@@ -171,7 +171,7 @@
     begin: Begin,
     entry: usize,
     membership: Membership,
-    opening: Opening,
+    opening: TurnAdmission,
     sent: BTreeMap<Arc<str>, u32>,
     noted: BTreeSet<Arc<str>>,
     second_query: bool,
@@ -228,7 +228,7 @@
             );
         }
         for keeper in &mut list.keepers {
-            keeper.standing = Standing::Member;
+            keeper.standing = MemberState::Member;
             keeper.ready = true;
         }
         Self {
@@ -304,7 +304,7 @@
         let membership = self.known_lists[entry].clone();
         let replicas = membership.replicas(&begin.program, self.faults);
         self.turns.push(Turn {
-            opening: Opening::new(replicas, Some(BUDGET), begin.most),
+            opening: TurnAdmission::new(replicas, Some(BUDGET), begin.most),
             begin,
             entry,
             membership,
@@ -438,10 +438,10 @@
         let step = match envelope.body {
             Body::Noted(view) => {
                 turn.noted.insert(envelope.node.clone());
-                Step::Noted(view)
+                ReplicaEvent::Noted(view)
             }
-            Body::Seen(view) => Step::Seen(view),
-            Body::Synced => Step::Synced,
+            Body::Seen(view) => ReplicaEvent::Seen(view),
+            Body::Synced => ReplicaEvent::Synced,
             Body::EndSynced => {
                 turn.ended.insert(envelope.node.clone());
                 self.record_end(id);
@@ -459,29 +459,29 @@
             Body::Disconnected => {
                 turn.sent.remove(&envelope.node);
                 turn.noted.remove(&envelope.node);
-                Step::Lost
+                ReplicaEvent::Lost
             }
             _ => return Ok(()),
         };
         if turn.phase == Phase::Ending || turn.phase == Phase::Over {
             return Ok(());
         }
-        let late = turn.second_query && matches!(step, Step::Noted(_));
+        let late = turn.second_query && matches!(step, ReplicaEvent::Noted(_));
         match turn.opening.step(at, step) {
-            Verdict::Ask => {
+            NextAction::Ask => {
                 turn.second_query = true;
                 let noted: Vec<Arc<str>> = turn.noted.iter().cloned().collect();
                 noted
                     .iter()
                     .for_each(|node| self.send_second_query(id, node));
             }
-            Verdict::Go if turn.phase == Phase::Opening => turn.phase = Phase::Running,
-            Verdict::Spent => {
+            NextAction::Go if turn.phase == Phase::Opening => turn.phase = Phase::Running,
+            NextAction::Spent => {
                 self.counts.spent += 1;
                 self.finish(id, false);
             }
-            Verdict::Go | Verdict::Wait if late => self.send_second_query(id, &envelope.node),
-            Verdict::Go | Verdict::Wait => {}
+            NextAction::Go | NextAction::Wait if late => self.send_second_query(id, &envelope.node),
+            NextAction::Go | NextAction::Wait => {}
         }
         Ok(())
     }
@@ -508,7 +508,7 @@
             Phase::Opening => {
                 turn.membership = self.known_lists[turn.entry].clone();
                 let replicas = turn.membership.replicas(&turn.begin.program, self.faults);
-                turn.opening = Opening::new(replicas, Some(BUDGET), turn.begin.most);
+                turn.opening = TurnAdmission::new(replicas, Some(BUDGET), turn.begin.most);
                 turn.second_query = false;
                 turn.sent.clear();
                 turn.noted.clear();
@@ -678,10 +678,10 @@
         let own = &list.keepers[at];
         let keeper = &self.keepers[&name];
         let done = keeper.complete && (own.ready || !list.is_changing());
-        if !keeper.up || done || own.standing == Standing::Leaving {
+        if !keeper.up || done || own.standing == MemberState::Leaving {
             return;
         }
-        let lost_data = own.standing == Standing::Member && !keeper.complete;
+        let lost_data = own.standing == MemberState::Member && !keeper.complete;
         if lost_data && !keeper.renewed {
             self.list = list.renew();
             self.keepers.get_mut(&name).expect("it was named").renewed = true;
@@ -694,7 +694,7 @@
         self.copy_from(&name, &other, &list);
         let copied = &self.keepers[&name].copied;
         let others = list.keepers.iter();
-        let others = others.filter(|k| k.node != name && k.standing != Standing::Joining);
+        let others = others.filter(|k| k.node != name && k.standing != MemberState::Joining);
         let missing = others
             .filter(|k| !copied.contains(&(list.moved, k.node.clone())))
             .count();
@@ -710,7 +710,7 @@
     }
 
     fn copy_from(&mut self, name: &Arc<str>, other: &Arc<str>, list: &Membership) {
-        let joining = |k: &limpetferry_lib::membership::Keeper| k.standing == Standing::Joining;
+        let joining = |k: &limpetferry_lib::membership::Keeper| k.standing == MemberState::Joining;
         let listed = list.place(other).map(|at| &list.keepers[at]);
         let source = self.keepers.get_mut(other).expect("it was named");
         if name == other || !source.up || !source.complete || listed.is_none_or(joining) {
@@ -753,7 +753,7 @@
 
     fn leave(&mut self, n: u16) {
         let staying = self.list.keepers.iter();
-        let staying = staying.filter(|keeper| keeper.standing != Standing::Leaving);
+        let staying = staying.filter(|keeper| keeper.standing != MemberState::Leaving);
         if staying.count() <= 2 * self.faults + 1 {
             return;
         }
--- a/net/src/allowances.rs
+++ b/net/src/allowances.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 use limpetferry_lib::allowance::AllowanceBounds;
+use limpetferry_lib::allowance::KeeperDecision;
 use limpetferry_lib::allowance::ProcessStart;
-use limpetferry_lib::allowance::Ruling;
 use limpetferry_lib::allowance::Shortage;
-use limpetferry_lib::allowance::Use;
-use limpetferry_lib::allowance::UseReply;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::allowance::UsageReply;
+use limpetferry_lib::allowance::UsageReport;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
 use limpetferry_lib::rate_limiter::Counted;
 use limpetferry_lib::rate_limiter::Decision;
-use limpetferry_lib::rate_limiter::InCharge;
-use limpetferry_lib::rate_limiter::Spending;
+use limpetferry_lib::rate_limiter::RateLimiter;
+use limpetferry_lib::rate_limiter::ResponsibleKeepers;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::workspace::Allowance;
 use limpetferry_lib::workspace::Workspace;
@@ -50,7 +50,7 @@
         /// Time until it has.
         after: Duration,
         /// What the keeper in charge counted, if it was asked.
-        counted: Option<UseReply>,
+        counted: Option<UsageReply>,
     },
     /// No keeper can say; another gateway may do better.
     Unknown(Duration),
@@ -83,7 +83,7 @@
 /// Keeps to the allowances of workspaces.
 pub struct Allowances {
     bounds: AllowanceBounds,
-    spending: Mutex<Spending>,
+    spending: Mutex<RateLimiter>,
     site: Arc<Site>,
     replicas: Arc<Replicas>,
     clock: Clock,
@@ -106,7 +106,7 @@
     ) -> Arc<Self> {
         Arc::new(Self {
             bounds,
-            spending: Mutex::new(Spending::new(bounds, by_programs, clock.now())),
+            spending: Mutex::new(RateLimiter::new(bounds, by_programs, clock.now())),
             site,
             replicas,
             clock,
@@ -120,7 +120,7 @@
         self.bounds.limit(allowance)
     }
 
-    fn spending(&self) -> MutexGuard<'_, Spending> {
+    fn spending(&self) -> MutexGuard<'_, RateLimiter> {
         self.spending.lock().expect("no panic while locked")
     }
 
@@ -182,9 +182,9 @@
             }
             let reply = reply.into_iter().next();
             let (shortage, after) = match reply.as_ref().and_then(|reply| reply.ruling) {
-                Some(Ruling::Full(after)) => (Shortage::Requests, after),
-                Some(Ruling::Closed { turn, .. }) => (Shortage::Programs, turn),
-                Some(Ruling::Go) | None => {
+                Some(KeeperDecision::Full(after)) => (Shortage::Requests, after),
+                Some(KeeperDecision::Closed { turn, .. }) => (Shortage::Programs, turn),
+                Some(KeeperDecision::Go) | None => {
                     self.spending().allow(self.clock.now(), counted);
                     return Ok(());
                 }
@@ -201,7 +201,7 @@
     }
 
     /// Returns the keepers that count for a workspace, of those within reach.
-    fn keepers(&self, workspace: &str) -> InCharge {
+    fn keepers(&self, workspace: &str) -> ResponsibleKeepers {
         let keepers = self.site.known().keepers.clone();
         let now = self.clock.now();
         let silent = self.silent.lock().expect("no panic while locked");
@@ -221,24 +221,33 @@
         self.spending().in_charge(now, &order, self.faults)
     }
 
-    fn tell(&self, workspace: &str, keeper: &ProcessStart, wants: Option<&Counted>) -> Option<Use> {
+    fn tell(
+        &self,
+        workspace: &str,
+        keeper: &ProcessStart,
+        wants: Option<&Counted>,
+    ) -> Option<UsageReport> {
         let now = self.clock.now();
         self.spending().tell(now, workspace, keeper, wants)
     }
 
     /// Tells a keeper what was sent, and takes what it answers; `None` if it
     /// does not.
-    async fn spend(&self, keeper: &ProcessStart, uses: Vec<Use>) -> Option<Vec<UseReply>> {
+    async fn spend(
+        &self,
+        keeper: &ProcessStart,
+        uses: Vec<UsageReport>,
+    ) -> Option<Vec<UsageReply>> {
         let names: Vec<Arc<str>> = uses.iter().map(|told| told.workspace.clone()).collect();
         let (sender, heard) = async_channel::bounded(1);
         if !self
             .replicas
-            .ask(&keeper.node, Question::Spend(uses), &sender)
+            .ask(&keeper.node, KeeperRequest::Spend(uses), &sender)
         {
             return None;
         }
         let heard = within(ANSWER_WAIT, heard.recv()).await?.ok()?;
-        let Some(Reply::Spent(replies)) = heard.reply else {
+        let Some(KeeperReply::Spent(replies)) = heard.reply else {
             return None;
         };
         let now = self.clock.now();
@@ -269,9 +278,9 @@
             let now = self.clock.now();
             let active = self.spending().active(now);
             let mut untold: HashMap<ProcessStart, Vec<Arc<str>>> = HashMap::new();
-            let mut copies: HashMap<ProcessStart, Vec<Use>> = HashMap::new();
+            let mut copies: HashMap<ProcessStart, Vec<UsageReport>> = HashMap::new();
             for workspace in active {
-                let InCharge { keeper, others } = self.keepers(&workspace);
+                let ResponsibleKeepers { keeper, others } = self.keepers(&workspace);
                 if let Some(copy) = self.spending().copy(now, &workspace) {
                     for other in others {
                         copies.entry(other).or_default().push(copy.clone());
@@ -289,7 +298,7 @@
             for (keeper, uses) in copies {
                 // What it answers is for the one in charge to say.
                 let (sender, _) = async_channel::bounded(1);
-                let question = Question::Spend(uses);
+                let question = KeeperRequest::Spend(uses);
                 self.replicas.ask(&keeper.node, question, &sender);
             }
         }
@@ -298,7 +307,7 @@
     async fn tell_all(&self, keeper: &ProcessStart, workspaces: &[Arc<str>]) {
         let uses = workspaces.iter();
         let uses = uses.filter_map(|workspace| self.tell(workspace, keeper, None));
-        let uses: Vec<Use> = uses.collect();
+        let uses: Vec<UsageReport> = uses.collect();
         if self.spend(keeper, uses).await.is_none() {
             for workspace in workspaces {
                 self.unheard(&keeper.node, workspace);
