--- a/net/src/attempt.rs
+++ b/net/src/attempt.rs
@@ -9,15 +9,15 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use limpetferry_lib::call::Part;
+use limpetferry_lib::criteria::Criteria;
 use limpetferry_lib::criteria::ServerKey;
-use limpetferry_lib::criteria::Wish;
-use limpetferry_lib::dispatch_queue::Waiting;
+use limpetferry_lib::dispatch_queue::QueuedRequest;
 use limpetferry_lib::pace::WaitKey;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::routing::Kind;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::server::ServerOutcome;
+use limpetferry_lib::service_time::RequestConditions;
 use limpetferry_lib::service_time::Span;
-use limpetferry_lib::service_time::Work;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::urgency;
 use limpetferry_platform::header;
@@ -57,7 +57,7 @@
     keep: Option<Duration>,
     over: bool,
     /// What the request met at the server.
-    work: Work,
+    work: RequestConditions,
     /// When it was sent.
     sent: Time,
     /// Its wait for the first part of its answer.
@@ -138,7 +138,7 @@
     }
 
     /// Ends the request; the connection is kept if it may be used again.
-    pub fn end(mut self, outcome: Outcome, reuse: bool) {
+    pub fn end(mut self, outcome: ServerOutcome, reuse: bool) {
         self.close(outcome);
         if let Some(sender) = self.sender.take().filter(|_| reuse) {
             let now = self.gateway.clock.now();
@@ -146,7 +146,7 @@
         }
     }
 
-    fn close(&mut self, outcome: Outcome) {
+    fn close(&mut self, outcome: ServerOutcome) {
         if !std::mem::replace(&mut self.over, true) {
             let now = self.gateway.clock.now();
             let mut known = self.gateway.site.known();
@@ -165,7 +165,7 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        self.close(Outcome::Abandoned);
+        self.close(ServerOutcome::Abandoned);
     }
 }
 
@@ -188,11 +188,11 @@
 
 impl Failure {
     /// Returns what it says of its server.
-    pub fn outcome(&self) -> Outcome {
+    pub fn outcome(&self) -> ServerOutcome {
         match self {
-            Self::Late => Outcome::Abandoned,
-            Self::Silent => Outcome::Silent,
-            _ => Outcome::Broken,
+            Self::Late => ServerOutcome::Abandoned,
+            Self::Silent => ServerOutcome::Silent,
+            _ => ServerOutcome::Broken,
         }
     }
 
@@ -219,8 +219,8 @@
 }
 
 impl Job {
-    fn wish<'a>(&'a self, tried: &'a [ServerKey]) -> Wish<'a> {
-        Wish {
+    fn wish<'a>(&'a self, tried: &'a [ServerKey]) -> Criteria<'a> {
+        Criteria {
             parts: &self.call.parts,
             object: self.call.object.as_deref(),
             tried,
@@ -236,7 +236,7 @@
             // servers that are gone are closed.
             let known = self.gateway.site.known();
             let warm = self.gateway.pool.warm(self.now(), self.runs_once());
-            let wish = Wish {
+            let wish = Criteria {
                 connected: Some(&warm),
                 ..self.wish(tried)
             };
@@ -353,7 +353,7 @@
         let work = usual.min(self.route.target);
         let rank = urgency::queue_rank(self.priority(), self.remains());
         let asked = self.now();
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             workspace: self.caller.workspace().map(|one| one.name.clone()),
             rank,
             since: self.start,
@@ -495,7 +495,7 @@
                 None => match self.gateway.pool.connect(address).await {
                     Ok(sender) => sender,
                     Err(error) => {
-                        lease.end(Outcome::Broken, false);
+                        lease.end(ServerOutcome::Broken, false);
                         return Err(Failure::NotSent(error.to_string()));
                     }
                 },
@@ -571,7 +571,7 @@
         let (head, body) = response.into_parts();
         let answer = header::decode_answer(head.status, &head.headers, &self.call.attempt);
         if !answer.own {
-            lease.end(Outcome::Broken, false);
+            lease.end(ServerOutcome::Broken, false);
             return Err(Failure::Unknown(
                 "an answer to another request came".to_owned(),
             ));
@@ -585,12 +585,15 @@
             let (outcome, failure) = match head.status {
                 StatusCode::MISDIRECTED_REQUEST => {
                     let why = "another server has its address";
-                    (Outcome::Replaced, Failure::NotRun(why))
+                    (ServerOutcome::Replaced, Failure::NotRun(why))
                 }
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                    (Outcome::Full, Failure::Full)
+                    (ServerOutcome::Full, Failure::Full)
                 }
-                _ => (Outcome::Full, Failure::NotRun("it takes no such request")),
+                _ => (
+                    ServerOutcome::Full,
+                    Failure::NotRun("it takes no such request"),
+                ),
             };
             lease.end(outcome, false);
             return Err(failure);
@@ -598,7 +601,7 @@
         let success = head.status.is_success();
         let promise = [408, 421, 429, 503].contains(&head.status.as_u16());
         if answer.encoded || (success && !answer.signed) || promise {
-            lease.end(Outcome::Broken, false);
+            lease.end(ServerOutcome::Broken, false);
             return Err(Failure::Unknown(format!(
                 "an answer with status {} that cannot be passed on",
                 head.status.as_u16()
--- a/net/src/backend.rs
+++ b/net/src/backend.rs
@@ -10,12 +10,12 @@
 use http_body_util::BodyExt as _;
 use http_body_util::Full;
 use hyper::body::Incoming;
-use limpetferry_lib::effect::Work;
+use limpetferry_lib::effect::BackendRequest;
 use limpetferry_lib::id::CallId;
 use limpetferry_lib::id::ProgramId;
 use limpetferry_lib::outcome::Answer;
 use limpetferry_lib::program::Target;
-use limpetferry_lib::side::BackendEnd;
+use limpetferry_lib::side::BackendResult;
 use limpetferry_lib::sse::Assembler;
 use limpetferry_lib::sse::SseEvent;
 use serde_json::Value;
@@ -56,10 +56,10 @@
     pub async fn run<E>(
         &self,
         call: CallId,
-        work: Work,
+        work: BackendRequest,
         events: &async_channel::Sender<E>,
         wrap: impl Fn(Vec<u8>) -> E,
-    ) -> BackendEnd {
+    ) -> BackendResult {
         // A call that may not run twice gets a connection of its own: on an
         // old one, a refusal could not be told from a loss.
         let sender = match &work.target {
@@ -67,14 +67,14 @@
             Target::Service { .. } => connect(&self.address).await,
         };
         let Ok(mut sender) = sender else {
-            return BackendEnd::Unreachable;
+            return BackendResult::Unreachable;
         };
         let model = matches!(work.target, Target::Model(_));
         let Some(request) = self.request(call, &work) else {
-            return BackendEnd::Unreachable;
+            return BackendResult::Unreachable;
         };
         let Ok(response) = sender.send_request(request).await else {
-            return BackendEnd::Failed;
+            return BackendResult::Failed;
         };
         let status = response.status().as_u16();
         let kind = response
@@ -88,13 +88,13 @@
         } else {
             read_whole(response.into_body(), status, kind).await
         };
-        if matches!(end, BackendEnd::Answer(_)) {
+        if matches!(end, BackendResult::Answer(_)) {
             self.client.put(&self.address, sender);
         }
         end
     }
 
-    fn request(&self, call: CallId, work: &Work) -> Option<Request<Full<Bytes>>> {
+    fn request(&self, call: CallId, work: &BackendRequest) -> Option<Request<Full<Bytes>>> {
         match &work.target {
             Target::Model(model) => {
                 let mut body: Value = serde_json::from_slice(&work.body).unwrap_or(json!({}));
@@ -151,13 +151,13 @@
     kind: String,
     events: &async_channel::Sender<E>,
     wrap: impl Fn(Vec<u8>) -> E,
-) -> BackendEnd {
+) -> BackendResult {
     let mut assembler = Assembler::default();
     let mut whole = Vec::new();
     let mut ended = false;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return BackendEnd::Failed;
+            return BackendResult::Failed;
         };
         let Ok(data) = frame.into_data() else {
             continue;
@@ -165,12 +165,12 @@
         let mut fresh = Vec::new();
         for event in assembler.push(&data) {
             match event {
-                SseEvent::Piece(bytes) => fresh.extend_from_slice(&bytes),
+                SseEvent::Chunk(bytes) => fresh.extend_from_slice(&bytes),
                 SseEvent::End => ended = true,
             }
         }
         if whole.len() + fresh.len() > MAX_ANSWER {
-            return BackendEnd::Failed;
+            return BackendResult::Failed;
         }
         whole.extend_from_slice(&fresh);
         if !fresh.is_empty() {
@@ -178,9 +178,9 @@
         }
     }
     if !ended {
-        return BackendEnd::Failed;
+        return BackendResult::Failed;
     }
-    BackendEnd::Answer(Answer {
+    BackendResult::Answer(Answer {
         status: 200,
         kind,
         body: whole,
@@ -189,15 +189,15 @@
     })
 }
 
-async fn read_whole(body: Incoming, status: u16, kind: String) -> BackendEnd {
+async fn read_whole(body: Incoming, status: u16, kind: String) -> BackendResult {
     match crate::http::read_body(body, MAX_ANSWER).await {
-        Ok(bytes) => BackendEnd::Answer(Answer {
+        Ok(bytes) => BackendResult::Answer(Answer {
             status,
             kind,
             body: bytes.to_vec(),
             turn: None,
             tokens: 0,
         }),
-        Err(_) => BackendEnd::Failed,
+        Err(_) => BackendResult::Failed,
     }
 }
--- a/net/src/callers.rs
+++ b/net/src/callers.rs
@@ -27,7 +27,7 @@
 use limpetferry_lib::id::Operator;
 use limpetferry_lib::id::ProgramId;
 use limpetferry_lib::id::Service;
-use limpetferry_lib::message::Ending;
+use limpetferry_lib::message::AnswerEnd;
 use limpetferry_lib::message::OpenRequest;
 use limpetferry_lib::message::ProgramRequest;
 use limpetferry_lib::message::ProgramView;
@@ -35,7 +35,7 @@
 use limpetferry_lib::message::Request as Ask;
 use limpetferry_lib::outcome::Refusal;
 use limpetferry_lib::program::CallRequest;
-use limpetferry_lib::program::Supply;
+use limpetferry_lib::program::HistoryMode;
 use limpetferry_lib::program::Target;
 use limpetferry_lib::program::Urgency;
 use limpetferry_lib::sse::Assembler;
@@ -292,17 +292,17 @@
 struct What {
     target: Target,
     idempotent: bool,
-    supply: Supply,
+    supply: HistoryMode,
     turns: Vec<Turn>,
     body: Vec<u8>,
     tokens: u64,
 }
 
-fn supply(headers: &HeaderMap) -> Result<Supply, Refusal> {
+fn supply(headers: &HeaderMap) -> Result<HistoryMode, Refusal> {
     let base = text(headers, BASE)?.map(digest).transpose()?;
     match text(headers, HISTORY)? {
-        None | Some("full") if base.is_none() => Ok(Supply::Full),
-        Some("append") | None => Ok(Supply::Append(base)),
+        None | Some("full") if base.is_none() => Ok(HistoryMode::Full),
+        Some("append") | None => Ok(HistoryMode::Append(base)),
         Some(_) => {
             let detail =
                 format!("header {HISTORY} is full or append, and only append takes {BASE}");
@@ -470,7 +470,7 @@
     Ok(response)
 }
 
-fn ending(reply: Reply) -> Result<Ending, Refusal> {
+fn ending(reply: Reply) -> Result<AnswerEnd, Refusal> {
     match reply {
         Reply::Ended(ending) => Ok(ending),
         Reply::Refused(refusal) => Err(refusal),
@@ -478,7 +478,7 @@
     }
 }
 
-fn plain_answer(ending: &Ending, bytes: Vec<u8>) -> Response<Body> {
+fn plain_answer(ending: &AnswerEnd, bytes: Vec<u8>) -> Response<Body> {
     let mut response = Response::new(whole(bytes));
     *response.status_mut() =
         http::StatusCode::from_u16(ending.status).unwrap_or(http::StatusCode::BAD_GATEWAY);
@@ -489,7 +489,7 @@
     response
 }
 
-fn add_headers(response: &mut Response<Body>, ending: &Ending) {
+fn add_headers(response: &mut Response<Body>, ending: &AnswerEnd) {
     let headers = response.headers_mut();
     let values = [
         ("limpetferry-call-id", ending.call.to_string()),
@@ -531,7 +531,7 @@
             method: method.to_owned(),
             path,
         },
-        supply: Supply::Append(None),
+        supply: HistoryMode::Append(None),
         turns: Vec::new(),
         body: body.to_vec(),
         tokens: 0,
--- a/net/src/disk.rs
+++ b/net/src/disk.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::keeper_protocol::KeeperMessage;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::RequestId;
 use limpetferry_lib::keeper_protocol::Snapshot;
-use limpetferry_lib::keeper_protocol::Ticket;
 use limpetferry_lib::ledger::Record;
 
 use crate::log;
@@ -29,7 +29,7 @@
         /// The records.
         records: Vec<Record>,
         /// Whom to tell.
-        tell: Option<(async_channel::Sender<KeeperMessage>, Ticket)>,
+        tell: Option<(async_channel::Sender<KeeperMessage>, RequestId)>,
     },
     /// Note on disk that the keeper has all that it ever acknowledged.
     SetWhole(async_channel::Sender<()>),
@@ -60,7 +60,7 @@
             .name("disk".to_owned())
             .spawn(move || {
                 if let Err(error) = write_all(segments, &queue, &shared) {
-                    let note = Note::new("disk_failed").with("folder", folder.display());
+                    let note = LogEvent::new("disk_failed").with("folder", folder.display());
                     log::note(&node, &note.with("why", error));
                     log::flush();
                     std::process::exit(DISK_FAILED);
@@ -118,7 +118,7 @@
         bytes.store(segments.bytes(), Ordering::Relaxed);
         for (sender, ticket) in told {
             // The asker may have left.
-            let _ = sender.try_send(KeeperMessage::Tell(ticket, Reply::Synced));
+            let _ = sender.try_send(KeeperMessage::Tell(ticket, KeeperReply::Synced));
         }
     }
     Ok(())
--- a/net/src/dispatch.rs
+++ b/net/src/dispatch.rs
@@ -8,17 +8,17 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use limpetferry_lib::concurrency_limit::Concurrency;
+use limpetferry_lib::concurrency_limit::ConcurrencyLimit;
 use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::dispatch_queue::DispatchQueue;
 use limpetferry_lib::dispatch_queue::EntryKey;
 use limpetferry_lib::dispatch_queue::QueueBounds;
 use limpetferry_lib::dispatch_queue::QueueRefusal;
-use limpetferry_lib::dispatch_queue::Waiting;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::dispatch_queue::QueuedRequest;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::fleet::Room;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::time::Time;
 
 use crate::clock::Clock;
@@ -42,7 +42,7 @@
 }
 
 struct ServiceQueue {
-    limit: Concurrency,
+    limit: ConcurrencyLimit,
     queue: DispatchQueue<Sender<Verdict>>,
     /// Requests at each server.
     servers: BTreeMap<ServerKey, u32>,
@@ -85,8 +85,8 @@
 
 impl QueueState {
     /// Returns its line.
-    pub fn note(&self) -> Note {
-        Note::new("queued")
+    pub fn note(&self) -> LogEvent {
+        LogEvent::new("queued")
             .with("service", &self.service)
             .with("length", self.length)
             .with("oldest_ms", self.oldest.as_millis())
@@ -101,7 +101,7 @@
     service: Arc<str>,
     server: Option<ServerKey>,
     since: Time,
-    outcome: Outcome,
+    outcome: ServerOutcome,
 }
 
 impl Permit {
@@ -114,7 +114,7 @@
     }
 
     /// Gives the right back, and says how the request ended.
-    pub fn end(mut self, outcome: Outcome) {
+    pub fn end(mut self, outcome: ServerOutcome) {
         self.outcome = outcome;
     }
 }
@@ -220,7 +220,7 @@
     pub async fn enter(
         self: &Arc<Self>,
         service: &Arc<str>,
-        waiting: Waiting,
+        waiting: QueuedRequest,
     ) -> Result<Permit, QueueRefusal> {
         let left = waiting.until.since(self.clock.now());
         let (sender, verdict) = async_channel::bounded(1);
@@ -243,7 +243,7 @@
     fn arrive(
         self: &Arc<Self>,
         service: &Arc<str>,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         sender: Sender<Verdict>,
     ) -> Result<Arrival, QueueRefusal> {
         let now = self.clock.now();
@@ -289,7 +289,7 @@
         services
             .entry(service.clone())
             .or_insert_with(|| ServiceQueue {
-                limit: Concurrency::default(),
+                limit: ConcurrencyLimit::default(),
                 queue: DispatchQueue::new(bounds),
                 servers: BTreeMap::new(),
                 timer: None,
@@ -302,7 +302,7 @@
             service: service.clone(),
             server: None,
             since: now,
-            outcome: Outcome::Abandoned,
+            outcome: ServerOutcome::Abandoned,
         }
     }
 
--- a/net/src/entry_node.rs
+++ b/net/src/entry_node.rs
@@ -15,14 +15,14 @@
 use limpetferry_lib::document::Documents;
 use limpetferry_lib::effect::CallerKey;
 use limpetferry_lib::effect::Effect;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::entry::Entry;
 use limpetferry_lib::entry::Event;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::NodeId;
-use limpetferry_lib::member::Listed;
 use limpetferry_lib::member::Node;
 use limpetferry_lib::member::Role;
+use limpetferry_lib::member::VmState;
 use limpetferry_lib::message::Reply;
 use limpetferry_lib::message::Request;
 use limpetferry_lib::shard_map::Block;
@@ -225,7 +225,7 @@
     metrics.set_ready(true);
     crate::log::note(
         common.node.as_str(),
-        &Note::new("started").with("boot", boot),
+        &LogEvent::new("started").with("boot", boot),
     );
 
     let task = Task::new(&handle, boot);
@@ -234,7 +234,7 @@
     // that none is left.
     drop(end);
     let _ = store.delete(&keys::node(&common.node)).await;
-    crate::log::note(common.node.as_str(), &Note::new("stopped"));
+    crate::log::note(common.node.as_str(), &LogEvent::new("stopped"));
     Ok(())
 }
 
@@ -322,7 +322,7 @@
         }
         let over = since.elapsed() >= limit;
         if over {
-            let note = Note::new("stop_cut_short")
+            let note = LogEvent::new("stop_cut_short")
                 .with("callers", self.entry.front().len())
                 .with("shards", self.entry.shards_held());
             crate::log::note(self.handle.settings.common.node.as_str(), &note);
@@ -404,7 +404,9 @@
             let event = match event {
                 PeerEvent::Up { node, boot } => Event::LinkUp { node, boot },
                 PeerEvent::Down { node, why } => {
-                    let note = Note::new("link_down").with("peer", &node).with("why", why);
+                    let note = LogEvent::new("link_down")
+                        .with("peer", &node)
+                        .with("why", why);
                     crate::log::note(self.handle.settings.common.node.as_str(), &note);
                     Event::LinkDown { node }
                 }
@@ -452,8 +454,8 @@
                 revision,
                 value,
             } => self.swap(block, revision, value),
-            Effect::Reread { block } => self.reread(block),
-            Effect::Note(note) => {
+            Effect::ReadBlock { block } => self.reread(block),
+            Effect::Log(note) => {
                 crate::log::note(self.handle.settings.common.node.as_str(), &note);
             }
             // For side processes only.
@@ -622,15 +624,15 @@
             .collect();
         handle.event(Event::Registry(nodes)).await;
         let drains = self.drains.values().cloned().collect();
-        handle.event(Event::Drains(drains)).await;
+        handle.event(Event::DrainList(drains)).await;
         links.dial(&dialled);
     }
 }
 
 /// Returns the state of a VM as the VM list writes it.
-pub(crate) fn listed(word: &str) -> Listed {
+pub(crate) fn listed(word: &str) -> VmState {
     match word {
-        "leaving" => Listed::Leaving,
-        _ => Listed::Live,
+        "leaving" => VmState::Leaving,
+        _ => VmState::Live,
     }
 }
--- a/net/src/flow.rs
+++ b/net/src/flow.rs
@@ -16,7 +16,7 @@
 use limpetferry_lib::events::Splitter;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::routing::Kind;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_platform::header;
 
 use crate::attempt::Failure;
@@ -295,7 +295,7 @@
                 lease.observe_end(self.events);
             }
             let server = lease.server.clone();
-            lease.end(Outcome::Answered, true);
+            lease.end(ServerOutcome::Answered, true);
             self.job
                 .gateway
                 .answered(&self.job, &server, StatusCode::OK, self.events);
--- a/net/src/follow.rs
+++ b/net/src/follow.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::keeper_protocol::KeeperMessage;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
-use limpetferry_lib::keeper_protocol::Ticket;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
+use limpetferry_lib::keeper_protocol::RequestId;
 use limpetferry_lib::membership::Membership;
 
 use crate::clock::Clock;
@@ -124,17 +124,17 @@
             known
         };
         let (sender, heard) = async_channel::unbounded();
-        let question = Question::Follow { after };
+        let question = KeeperRequest::Follow { after };
         if !self.replicas.ask(node, question, &sender) {
             return false;
         }
         let heard = within(HOLD + ANSWER_SPARE, heard.recv()).await;
         let away = match heard.and_then(|heard| heard.ok()?.reply) {
-            Some(Reply::Snapshot { snapshot, away }) => {
+            Some(KeeperReply::Snapshot { snapshot, away }) => {
                 self.site.take_snapshot(snapshot, node);
                 away
             }
-            Some(Reply::Changes {
+            Some(KeeperReply::Changes {
                 changes,
                 revision,
                 away,
@@ -157,7 +157,7 @@
         let known = self.site.known().revision;
         let behind = told < known;
         if behind {
-            let note = Note::new("keeper_behind").with("keeper", node);
+            let note = LogEvent::new("keeper_behind").with("keeper", node);
             self.site.note(note.with("told", told).with("known", known));
         }
         behind
@@ -177,7 +177,8 @@
         .map(|seed| {
             let (seed, hello, sender) = (seed.to_string(), hello.clone(), sender.clone());
             smol::spawn(async move {
-                if let Some(Reply::Snapshot { snapshot, .. }) = ask_seed(&seed, &hello).await {
+                if let Some(KeeperReply::Snapshot { snapshot, .. }) = ask_seed(&seed, &hello).await
+                {
                     // The first answer is enough.
                     let _ = sender.send((seed, snapshot)).await;
                 }
@@ -191,13 +192,13 @@
     drop(asking);
 }
 
-async fn ask_seed(address: &str, hello: &Hello) -> Option<Reply> {
+async fn ask_seed(address: &str, hello: &Hello) -> Option<KeeperReply> {
     let link = peer::dial(address, hello).await.ok()?;
     let (outgoing, questions) = async_channel::bounded(1);
     let (incoming, answers) = async_channel::bounded(1);
-    let question = Question::Follow { after: 0 };
+    let question = KeeperRequest::Follow { after: 0 };
     outgoing
-        .send(KeeperMessage::Ask(Ticket(0), question))
+        .send(KeeperMessage::Ask(RequestId(0), question))
         .await
         .ok()?;
     let running = async {
--- a/net/src/gateway.rs
+++ b/net/src/gateway.rs
@@ -12,13 +12,13 @@
 use hyper::Response;
 use hyper::StatusCode;
 use limpetferry_lib::call::Program;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::NodeId;
-use limpetferry_lib::load_shed::LoadShed;
-use limpetferry_lib::overload::Arrival;
-use limpetferry_lib::overload::Overload;
-use limpetferry_lib::overload::Refused;
+use limpetferry_lib::load_shed::LoadShedder;
+use limpetferry_lib::overload::OverloadControl;
+use limpetferry_lib::overload::ProgramRefusal;
+use limpetferry_lib::overload::TurnArrival;
 use limpetferry_lib::retry_budget::RetryBudget;
 use limpetferry_lib::retry_hint::RetryHints;
 use limpetferry_lib::routing::Kind;
@@ -108,9 +108,9 @@
     stopping: AtomicBool,
     in_touch: AtomicBool,
     hints: Mutex<RetryHints>,
-    shed: Mutex<LoadShed>,
+    shed: Mutex<LoadShedder>,
     /// Decides about programs by the load of services; `None` if it is not to.
-    overload: Option<Mutex<Overload>>,
+    overload: Option<Mutex<OverloadControl>>,
     /// Tries at further servers that are left; `None` if they are not bounded.
     retries: Option<Mutex<RetryBudget>>,
 }
@@ -155,12 +155,12 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Refused`] for a program that has not begun.
+    /// Returns a [`ProgramRefusal`] for a program that has not begun.
     ///
     /// # Panics
     ///
     /// Panics if another thread panicked while it held the lock.
-    pub fn admit(&self, arrival: &Arrival<'_>) -> Result<(), Refused> {
+    pub fn admit(&self, arrival: &TurnArrival<'_>) -> Result<(), ProgramRefusal> {
         let draw = rand::random();
         let overload = self.overload();
         let mut shed = self.shed.lock().expect("no panic while locked");
@@ -168,7 +168,7 @@
             Some(mut overload) => overload.admit(self.clock.now(), &mut shed, arrival, draw),
             None => {
                 let admitted = shed.admit(arrival.program, arrival.first, draw);
-                admitted.map_err(Refused::Gateway)
+                admitted.map_err(ProgramRefusal::Gateway)
             }
         }
     }
@@ -179,7 +179,7 @@
     /// # Panics
     ///
     /// Panics if another thread panicked while it held the lock.
-    pub fn overload(&self) -> Option<MutexGuard<'_, Overload>> {
+    pub fn overload(&self) -> Option<MutexGuard<'_, OverloadControl>> {
         let overload = self.overload.as_ref()?;
         Some(overload.lock().expect("no panic while locked"))
     }
@@ -277,7 +277,7 @@
             self.loads.set_address(self.handoff_address());
             self.loads.set_queues(&self.dispatch.states());
             if let Some(behind) = shed.change() {
-                let note = Note::new(if behind { "behind" } else { "caught_up" })
+                let note = LogEvent::new(if behind { "behind" } else { "caught_up" })
                     .with("timers_ms", shed.timers().as_millis())
                     .with("answers_ms", shed.answers().as_millis());
                 self.note(note);
@@ -297,7 +297,7 @@
         self.hints().set_ready(self.clock.now(), now);
         self.meters.ready.set(i64::from(self.is_ready()));
         if self.in_touch.swap(now, Ordering::Relaxed) != now {
-            let note = Note::new(if now { "ready" } else { "not_ready" });
+            let note = LogEvent::new(if now { "ready" } else { "not_ready" });
             self.note(note.with("known", known));
         }
     }
@@ -399,7 +399,7 @@
         retries: settings.switches.overload.then(Mutex::default),
     });
     gateway.meters.admitted.set(100);
-    let note = Note::new("started").with("role", "gateway");
+    let note = LogEvent::new("started").with("role", "gateway");
     gateway.note(note.with("callers", settings.callers));
     let (close, closed) = async_channel::bounded::<()>(1);
     let callers = bind("callers", settings.callers)?;
@@ -459,7 +459,7 @@
     let begun = clock.now();
     gateway.stopping.store(true, Ordering::Relaxed);
     leave.close();
-    gateway.note(Note::new("stopping"));
+    gateway.note(LogEvent::new("stopping"));
     smol::Timer::after(LINGER).await;
     close.close();
     let limit = Duration::from_millis(live.get().common.stop_ms).saturating_sub(STOP_SPARE);
@@ -467,7 +467,7 @@
     let ending = futures_lite::future::zip(serving, taking);
     let ended = within(left, ending).await.is_some();
     gateway.note(
-        Note::new("stopped")
+        LogEvent::new("stopped")
             .with("all_ended", ended)
             .with("millis", clock.now().since(begun).as_millis()),
     );
--- a/net/src/gateway/notes.rs
+++ b/net/src/gateway/notes.rs
@@ -2,10 +2,10 @@
 
 use hyper::StatusCode;
 use limpetferry_lib::allowance::Shortage;
-use limpetferry_lib::allowance::UseReply;
+use limpetferry_lib::allowance::UsageReply;
 use limpetferry_lib::call::Call;
 use limpetferry_lib::criteria::ServerKey;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::workspace::Workspace;
 use prometheus::core::Collector as _;
@@ -21,7 +21,7 @@
 
 impl Gateway {
     /// Writes a line.
-    pub fn note(&self, note: Note) {
+    pub fn note(&self, note: LogEvent) {
         log::note(&self.node, &note);
     }
 
@@ -39,7 +39,7 @@
     ) {
         let after = refusal.after.map_or(0, |after| after.as_millis());
         self.note(
-            Note::new("refused")
+            LogEvent::new("refused")
                 .with("attempt", attempt.unwrap_or("none"))
                 .with("program", program.unwrap_or("none"))
                 .with("status", refusal.status.as_u16())
@@ -56,11 +56,11 @@
         call: &Call,
         workspace: &Workspace,
         shortage: Shortage,
-        counted: Option<&UseReply>,
+        counted: Option<&UsageReply>,
     ) {
         let allowance = workspace.allowance.as_ref();
         let limit = allowance.map_or(0, |allowance| self.allowances.limit(allowance));
-        let note = Note::new("over_allowance")
+        let note = LogEvent::new("over_allowance")
             .with("attempt", &call.attempt)
             .with("workspace", &workspace.name)
             .with("shortage", shortage.label())
@@ -79,7 +79,7 @@
             .inc();
         let server = self.site.known().fleet.server(key).map(|s| s.id.clone());
         self.note(
-            Note::new("attempt_failed")
+            LogEvent::new("attempt_failed")
                 .with("attempt", attempt)
                 .with("server", server.as_deref().unwrap_or("gone"))
                 .with("why", format!("{failure:?}")),
@@ -98,7 +98,7 @@
             overload.ended(now, &job.service);
         }
         let note = self
-            .about(Note::new("answered"), job)
+            .about(LogEvent::new("answered"), job)
             .with("server", server)
             .with("status", status.as_u16())
             .with("events", events);
@@ -109,14 +109,14 @@
     pub fn cut(&self, job: &Job, events: u64, why: &str) {
         self.meters.cut.inc();
         let note = self
-            .about(Note::new("cut"), job)
+            .about(LogEvent::new("cut"), job)
             .with("events", events)
             .with("why", why);
         self.note(note);
     }
 
     /// Adds what a line says of every request that was read.
-    fn about(&self, note: Note, job: &Job) -> Note {
+    fn about(&self, note: LogEvent, job: &Job) -> LogEvent {
         let program = job.call.program.as_ref();
         let remains = program.and_then(|program| program.remaining);
         let note = note
@@ -148,13 +148,13 @@
                 sources.push(format!("{}:{count}", source.unwrap_or_default()));
             }
         }
-        let note = Note::new("summary").with("connections", sources.join(","));
+        let note = LogEvent::new("summary").with("connections", sources.join(","));
         self.note(note.with("held_bytes", self.held.bytes()));
-        let learned: Vec<Note> = {
+        let learned: Vec<LogEvent> = {
             let known = self.site.known();
             let all = known.fleet.learned();
             all.map(|(service, times)| {
-                let note = Note::new("learned")
+                let note = LogEvent::new("learned")
                     .with("service", service)
                     .with("times", times);
                 match known.fleet.pace_summary(self.clock.now(), service) {
@@ -191,7 +191,7 @@
                 "server_recovered"
             };
             self.note(
-                Note::new(event)
+                LogEvent::new(event)
                     .with("server", &change.server)
                     .with("factor", format!("{:.2}", change.factor))
                     .with("expected_ms", change.last.expected.round())
--- a/net/src/gateway_settings.rs
+++ b/net/src/gateway_settings.rs
@@ -59,7 +59,7 @@
 }
 
 fn default_watch() -> u64 {
-    store_watch::HOLD.as_millis() as u64
+    store_watch::DEFAULT_HOLD.as_millis() as u64
 }
 
 impl NodeSettings {
@@ -100,12 +100,12 @@
                 "give window_s above zero, overrun and slack of zero or more, handed_out from 0 to 1",
             ));
         }
-        if self.watch_ms == 0 || self.watch_hold() > store_watch::MOST_HOLD {
+        if self.watch_ms == 0 || self.watch_hold() > store_watch::MAX_HOLD {
             faults.push(Fault::new(
                 "common.watch_ms",
                 format!(
                     "give a number from 1 to {}",
-                    store_watch::MOST_HOLD.as_millis()
+                    store_watch::MAX_HOLD.as_millis()
                 ),
             ));
         }
--- a/net/src/handoff.rs
+++ b/net/src/handoff.rs
@@ -13,17 +13,17 @@
 use http::StatusCode;
 use http::request::Parts;
 use http_body_util::BodyExt as _;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::handoff::Handoff;
 use limpetferry_lib::handoff::Identity;
 use limpetferry_lib::handoff::OwnLoad;
-use limpetferry_lib::handoff_target::HopEnd;
+use limpetferry_lib::handoff_target::HopOutcome;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::routing::Kind;
 use limpetferry_lib::routing::Route;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::turn_cost::Offer;
 use limpetferry_lib::turn_cost::Power;
+use limpetferry_lib::turn_cost::RequestSize;
 
 use crate::gateway::Gateway;
 use crate::gateway_settings::GatewaySettings;
@@ -70,8 +70,8 @@
 }
 
 impl Arrival<'_> {
-    fn offer(&self) -> Offer {
-        Offer {
+    fn offer(&self) -> RequestSize {
+        RequestSize {
             body: self.size,
             kept: self.route.retention.is_some(),
             handed: self.handed,
@@ -188,15 +188,15 @@
         match made {
             Ok(way) => decision.observe_way(node, way),
             Err(error) => {
-                decision.end(gateway.clock.now(), node, HopEnd::Failed);
+                decision.end(gateway.clock.now(), node, HopOutcome::Failed);
                 drop(decision);
-                let note = Note::new("handoff_unreachable").with("target", node);
+                let note = LogEvent::new("handoff_unreachable").with("target", node);
                 gateway.note(note.with("why", error));
             }
         }
     }
 
-    fn end(&self, gateway: &Gateway, node: &str, end: HopEnd) {
+    fn end(&self, gateway: &Gateway, node: &str, end: HopOutcome) {
         self.decision().end(gateway.clock.now(), node, end);
     }
 
@@ -221,8 +221,8 @@
         let result = sending.await;
         let end = match &result {
             Ok(_) | Err(HandoffError::Caller) => None,
-            Err(HandoffError::NotRun { .. }) => Some(HopEnd::Full),
-            Err(HandoffError::Unknown(_) | HandoffError::Late) => Some(HopEnd::Failed),
+            Err(HandoffError::NotRun { .. }) => Some(HopOutcome::Full),
+            Err(HandoffError::Unknown(_) | HandoffError::Late) => Some(HopOutcome::Failed),
         };
         if let Some(end) = end {
             self.end(gateway, &target.node, end);
@@ -231,7 +231,7 @@
         let took = take_took(response.headers_mut());
         let hop = gateway.clock.now().since(sent).saturating_sub(took);
         let late = gateway.lateness();
-        self.end(gateway, &target.node, HopEnd::Answered { hop, late });
+        self.end(gateway, &target.node, HopOutcome::Answered { hop, late });
         gateway.meters.hop_time.observe(hop.as_secs_f64());
         Ok(response.map(|body| body.boxed_unsync()))
     }
@@ -311,7 +311,7 @@
         Err(HandoffError::Late) => "late",
     };
     count(gateway, outcome);
-    let note = Note::new("handed_over")
+    let note = LogEvent::new("handed_over")
         .with("attempt", arrival.attempt)
         .with("target", target)
         .with("outcome", outcome);
--- a/net/src/intake.rs
+++ b/net/src/intake.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use http::request::Parts;
 use limpetferry_lib::call::Call;
-use limpetferry_lib::overload::Arrival;
-use limpetferry_lib::overload::Refused;
+use limpetferry_lib::overload::ProgramRefusal;
+use limpetferry_lib::overload::TurnArrival;
 use limpetferry_lib::routing::Kind;
 use limpetferry_lib::routing::Route;
 use limpetferry_lib::routing::Routing;
@@ -87,7 +87,7 @@
     headers: &HeaderMap,
 ) -> Result<Caller, Refusal> {
     let Some(workspaces) = &target.routing.workspaces else {
-        return Ok(Caller::Untold);
+        return Ok(Caller::Unchecked);
     };
     let key = header::caller_key(headers);
     let found = match key {
@@ -98,7 +98,7 @@
         return Ok(Caller::Workspace(workspace.clone()));
     }
     if target.route.open {
-        return Ok(Caller::Anyone);
+        return Ok(Caller::Anonymous);
     }
     gateway.meters.unidentified.inc();
     match key {
@@ -175,7 +175,7 @@
     };
     let workspace = caller.workspace();
     let priority = workspace.and_then(|workspace| workspace.priority);
-    let admitted = gateway.admit(&Arrival {
+    let admitted = gateway.admit(&TurnArrival {
         program: &program.id,
         first: call.previous.is_none(),
         linked: route.is_linked(),
@@ -187,14 +187,14 @@
     });
     let not_begun = &gateway.meters.not_begun;
     admitted.map_err(|refused| match refused {
-        Refused::Gateway(after) => {
+        ProgramRefusal::Gateway(after) => {
             not_begun.with_label_values(&["gateway"]).inc();
             Refusal::later(
                 after,
                 "more programs than this gateway can serve in time; come back",
             )
         }
-        Refused::Service(after) => {
+        ProgramRefusal::Service(after) => {
             not_begun.with_label_values(&["service"]).inc();
             Refusal::later_at(
                 after,
--- a/net/src/keeper_list.rs
+++ b/net/src/keeper_list.rs
@@ -9,13 +9,13 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::effect::LogEvent;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
 use limpetferry_lib::ledger::ProgramDigest;
 use limpetferry_lib::membership::ListRequest;
+use limpetferry_lib::membership::MemberState;
 use limpetferry_lib::membership::Membership;
-use limpetferry_lib::membership::Standing;
 use limpetferry_lib::time::Time;
 use limpetferry_platform::document;
 use limpetferry_platform::document::RetireState;
@@ -113,7 +113,7 @@
                 }
                 Err(error) => {
                     self.keeper
-                        .note(Note::new("list_write_failed").with("why", error));
+                        .note(LogEvent::new("list_write_failed").with("why", error));
                     let jitter = rand::random_range(0.5..1.5);
                     smol::Timer::after(wait.mul_f64(jitter)).await;
                     wait = (wait * 2).min(LONGEST_WAIT);
@@ -152,14 +152,14 @@
             return self.request(store, &membership, request).await;
         };
         let own = &membership.keepers[at];
-        if own.standing == Standing::Leaving {
+        if own.standing == MemberState::Leaving {
             return Ok(());
         }
         if whole && (own.ready || !membership.is_changing()) {
             return self.replace_silent(store, &membership).await;
         }
         // A keeper that joins never held a program by this list.
-        let had = own.standing == Standing::Member && !whole;
+        let had = own.standing == MemberState::Member && !whole;
         if had && !self.renewed.swap(true, Ordering::Relaxed) {
             let result = self.renew(store).await;
             self.renewed
@@ -225,7 +225,7 @@
         let (sender, _) = async_channel::unbounded();
         let asked = self
             .replicas
-            .ask(writer, Question::List(request.clone()), &sender);
+            .ask(writer, KeeperRequest::List(request.clone()), &sender);
         *requested = asked.then(|| (request.clone(), now));
         asked
     }
@@ -239,7 +239,7 @@
         let node = self.keeper.node.as_str();
         let others = membership.keepers.iter();
         let others: Vec<Arc<str>> = others
-            .filter(|other| *other.node != *node && other.standing != Standing::Joining)
+            .filter(|other| *other.node != *node && other.standing != MemberState::Joining)
             .map(|other| other.node.clone())
             .collect();
         let may_miss = membership.may_miss(node, had, self.faults);
@@ -259,7 +259,7 @@
                 missing += 1;
                 continue;
             };
-            let note = Note::new("copied")
+            let note = LogEvent::new("copied")
                 .with("keeper", other)
                 .with("epoch", membership.epoch)
                 .with("records", records)
@@ -280,11 +280,11 @@
         let mut after: Option<Arc<str>> = None;
         let mut count = 0;
         loop {
-            let question = Question::Digests {
+            let question = KeeperRequest::Digests {
                 after: after.clone(),
                 membership: membership.clone(),
             };
-            let Some(Reply::Digests {
+            let Some(KeeperReply::Digests {
                 whole: true,
                 programs,
                 more,
@@ -318,11 +318,11 @@
         let mut count = 0;
         while !programs.is_empty() {
             let first = &programs[..programs.len().min(FETCH)];
-            let question = Question::Records {
+            let question = KeeperRequest::Records {
                 programs: first.to_vec(),
             };
             let reply = self.ask(other, question).await;
-            let Some(Reply::Records {
+            let Some(KeeperReply::Records {
                 records,
                 programs: done @ 1..,
             }) = reply
@@ -336,13 +336,13 @@
         Some(count)
     }
 
-    async fn ask(&self, other: &str, question: Question) -> Option<Reply> {
+    async fn ask(&self, other: &str, question: KeeperRequest) -> Option<KeeperReply> {
         let (sender, heard) = async_channel::unbounded();
         if !self.replicas.ask(other, question, &sender) {
             return None;
         }
         let heard = within(PULL_WAIT, heard.recv()).await?.ok()?;
-        if let Some(Reply::Stale(membership)) = heard.reply {
+        if let Some(KeeperReply::Stale(membership)) = heard.reply {
             self.keeper.site.take_keepers(membership, 0);
             return None;
         }
@@ -354,7 +354,7 @@
         self.keeper.disk.send(Job::SetWhole(sender));
         if done.recv().await.is_ok() {
             self.keeper.state().whole = true;
-            self.keeper.note(Note::new("whole"));
+            self.keeper.note(LogEvent::new("whole"));
         }
     }
 
@@ -379,7 +379,7 @@
         let without_lost = |list: &Membership| list.without_lost(&lost, self.faults);
         if without_lost(membership).is_some() && self.keeper.state().whole {
             self.keeper
-                .note(Note::new("keepers_lost").with("keepers", lost.join(",")));
+                .note(LogEvent::new("keepers_lost").with("keepers", lost.join(",")));
             self.swap(store, without_lost).await?;
             return Ok(());
         }
@@ -387,7 +387,7 @@
             return Ok(());
         };
         self.keeper
-            .note(Note::new("keeper_replaced").with("keeper", &gone.node));
+            .note(LogEvent::new("keeper_replaced").with("keeper", &gone.node));
         self.swap(store, |list| {
             let gone = list.replaceable(&silent, &unheard, self.faults)?;
             list.leave(&gone.node)
@@ -404,7 +404,7 @@
         let node = self.keeper.node.as_str();
         let listed = membership.place(node);
         if let Some(at) = listed
-            && membership.keepers[at].standing != Standing::Leaving
+            && membership.keepers[at].standing != MemberState::Leaving
         {
             self.swap(store, |list| list.leave(node)).await?;
         }
@@ -436,7 +436,7 @@
         }
         *self.reported.lock().expect("no panic while locked") = Some(state);
         self.keeper
-            .note(Note::new("retire_reported").with("state", format!("{state:?}")));
+            .note(LogEvent::new("retire_reported").with("state", format!("{state:?}")));
         Ok(())
     }
 
@@ -447,7 +447,7 @@
         if done {
             let epoch = self.keeper.site.known().keepers.epoch;
             self.keeper
-                .note(Note::new("list_renewed").with("epoch", epoch));
+                .note(LogEvent::new("list_renewed").with("epoch", epoch));
         }
         Ok(done)
     }
--- a/net/src/keeper_node.rs
+++ b/net/src/keeper_node.rs
@@ -9,15 +9,15 @@
 
 use async_channel::Receiver;
 use limpetferry_lib::allowance::ProcessStart;
-use limpetferry_lib::allowance::Use;
-use limpetferry_lib::allowance_counter::AllowanceBook;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::allowance::UsageReport;
+use limpetferry_lib::allowance_counter::AllowanceCounter;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::NodeId;
 use limpetferry_lib::keeper_protocol::KeeperMessage;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
-use limpetferry_lib::keeper_protocol::Ticket;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
+use limpetferry_lib::keeper_protocol::RequestId;
 use limpetferry_lib::ledger::Ledger;
 use limpetferry_lib::ledger::Presence;
 use limpetferry_lib::ledger::Record;
@@ -26,7 +26,7 @@
 use limpetferry_lib::membership::ListRequest;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::turn_admission::View;
+use limpetferry_lib::turn_admission::ReplicaView;
 use smol::net::TcpListener;
 
 use crate::clock::Clock;
@@ -103,7 +103,7 @@
     /// Changes of the list that others asked it to make, and when.
     requests: Mutex<Vec<(Time, ListRequest)>>,
     /// What the workspaces of which it is in charge have sent.
-    allowances: Mutex<AllowanceBook>,
+    allowances: Mutex<AllowanceCounter>,
     /// What gateways reported of load.
     loads: Mutex<LoadMap>,
 }
@@ -119,7 +119,7 @@
     }
 
     /// Writes an event as one line.
-    pub fn note(&self, note: Note) {
+    pub fn note(&self, note: LogEvent) {
         log::note(&self.node, &note);
     }
 
@@ -128,7 +128,7 @@
     pub fn keep(
         &self,
         records: Vec<Record>,
-        tell: Option<(async_channel::Sender<KeeperMessage>, Ticket)>,
+        tell: Option<(async_channel::Sender<KeeperMessage>, RequestId)>,
     ) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -177,26 +177,26 @@
         self.disk.bytes() > self.most / FULL_SHARE
     }
 
-    fn count(&self, asker: &ProcessStart, uses: &[Use]) -> Reply {
+    fn count(&self, asker: &ProcessStart, uses: &[UsageReport]) -> KeeperReply {
         let now = self.clock.now();
         let mut book = self.allowances.lock().expect("no panic while locked");
         let replies = uses.iter().map(|told| book.take(now, asker, told));
-        Reply::Spent(replies.collect())
+        KeeperReply::Spent(replies.collect())
     }
 
-    fn take_load(&self, asker: &ProcessStart, report: &LoadReport) -> Reply {
+    fn take_load(&self, asker: &ProcessStart, report: &LoadReport) -> KeeperReply {
         let now = self.clock.now();
         let known = self.site.known();
         let mut loads = self.loads.lock().expect("no panic while locked");
-        Reply::Loads(loads.take(now, asker, report, &known.fleet))
+        KeeperReply::Loads(loads.take(now, asker, report, &known.fleet))
     }
 
     /// Answers a question.
     fn answer(
         self: &Arc<Self>,
         asker: &ProcessStart,
-        ticket: Ticket,
-        question: Question,
+        ticket: RequestId,
+        question: KeeperRequest,
         sender: &async_channel::Sender<KeeperMessage>,
     ) {
         self.meters
@@ -204,16 +204,18 @@
             .with_label_values(&[question.label()])
             .inc();
         let reply = match question {
-            Question::Note { epoch, .. } | Question::End { epoch, .. } if self.is_stale(epoch) => {
-                Reply::Stale(Membership::clone(&self.site.known().keepers))
+            KeeperRequest::Note { epoch, .. } | KeeperRequest::End { epoch, .. }
+                if self.is_stale(epoch) =>
+            {
+                KeeperReply::Stale(Membership::clone(&self.site.known().keepers))
             }
-            Question::Digests { ref membership, .. } if self.is_stale(membership.epoch) => {
-                Reply::Stale(Membership::clone(&self.site.known().keepers))
+            KeeperRequest::Digests { ref membership, .. } if self.is_stale(membership.epoch) => {
+                KeeperReply::Stale(Membership::clone(&self.site.known().keepers))
             }
-            Question::Note { .. } | Question::End { .. } if self.is_full() => {
-                Reply::Failed("the disk is full; raise data.max_mb".to_owned())
+            KeeperRequest::Note { .. } | KeeperRequest::End { .. } if self.is_full() => {
+                KeeperReply::Failed("the disk is full; raise data.max_mb".to_owned())
             }
-            Question::Note { begin, chain, .. } => {
+            KeeperRequest::Note { begin, chain, .. } => {
                 let reply = self.noted(
                     &begin.program,
                     &begin.turn,
@@ -227,14 +229,14 @@
                 return;
             }
             // Its beginning was lost with the power: an end alone is no turn.
-            Question::End {
+            KeeperRequest::End {
                 begin: None,
                 ref finish,
                 ..
             } if !self.state().ledger.has_begun(&finish.turn) => {
-                Reply::Failed("the turn's beginning is not here; send it too".to_owned())
+                KeeperReply::Failed("the turn's beginning is not here; send it too".to_owned())
             }
-            Question::End {
+            KeeperRequest::End {
                 begin,
                 finish,
                 place,
@@ -249,26 +251,28 @@
                 }
                 return;
             }
-            Question::Look { program, turn } => Reply::Seen(self.view(&program, &turn, None)),
-            Question::Chain { turn } => self.chain(&turn),
-            Question::Digests { after, membership } => {
+            KeeperRequest::Look { program, turn } => {
+                KeeperReply::Seen(self.view(&program, &turn, None))
+            }
+            KeeperRequest::Chain { turn } => self.chain(&turn),
+            KeeperRequest::Digests { after, membership } => {
                 self.site.take_keepers(membership, 0);
                 let state = self.state();
                 let (programs, more) = state.ledger.digests(after.as_deref(), MAX_DIGESTS);
-                Reply::Digests {
+                KeeperReply::Digests {
                     whole: state.whole,
                     programs,
                     more,
                 }
             }
-            Question::Records { programs } => self.records(&programs),
-            Question::List(request) => {
+            KeeperRequest::Records { programs } => self.records(&programs),
+            KeeperRequest::List(request) => {
                 self.take_request(request);
-                Reply::Taken
+                KeeperReply::Taken
             }
-            Question::Spend(uses) => self.count(asker, &uses),
-            Question::Load(report) => self.take_load(asker, &report),
-            Question::Follow { after } => {
+            KeeperRequest::Spend(uses) => self.count(asker, &uses),
+            KeeperRequest::Load(report) => self.take_load(asker, &report),
+            KeeperRequest::Follow { after } => {
                 self.site.note_revision(after);
                 self.clone().follow(ticket, after, sender.clone());
                 return;
@@ -282,7 +286,7 @@
     /// something has.
     fn follow(
         self: Arc<Self>,
-        ticket: Ticket,
+        ticket: RequestId,
         after: u64,
         sender: async_channel::Sender<KeeperMessage>,
     ) {
@@ -293,7 +297,7 @@
                 within(HOLD, waiting.recv()).await;
                 news = self.site.news(after);
             }
-            let reply = news.unwrap_or_else(|| Reply::Changes {
+            let reply = news.unwrap_or_else(|| KeeperReply::Changes {
                 changes: Vec::new(),
                 revision: self.site.known().revision,
                 away: self.is_away(),
@@ -308,7 +312,7 @@
     pub fn set_cut_off(&self, cut_off: bool) {
         if self.cut_off.swap(cut_off, Ordering::Relaxed) != cut_off {
             let event = if cut_off { "cut_off" } else { "reconnected" };
-            self.note(Note::new(event));
+            self.note(LogEvent::new(event));
         }
     }
 
@@ -323,7 +327,7 @@
         epoch < self.site.known().keepers.epoch
     }
 
-    fn noted(&self, program: &str, turn: &str, previous: Option<&str>, chain: bool) -> Reply {
+    fn noted(&self, program: &str, turn: &str, previous: Option<&str>, chain: bool) -> KeeperReply {
         let view = self.view(program, turn, previous);
         let mut links = Vec::new();
         if let Some(previous) = previous {
@@ -334,33 +338,33 @@
             }
         }
         let places = self.state().ledger.places(program).to_vec();
-        Reply::Noted {
+        KeeperReply::Noted {
             view,
             chain: links,
             places,
         }
     }
 
-    fn view(&self, program: &str, turn: &str, previous: Option<&str>) -> View {
+    fn view(&self, program: &str, turn: &str, previous: Option<&str>) -> ReplicaView {
         let state = self.state();
-        View {
+        ReplicaView {
             whole: state.whole,
             shares: state.ledger.shares(program, turn),
             previous: previous.map_or(Presence::Never, |turn| presence(&state, turn)),
         }
     }
 
-    fn chain(&self, turn: &str) -> Reply {
+    fn chain(&self, turn: &str) -> KeeperReply {
         let mut state = self.state();
         state.ledger.touch(self.clock.now(), turn);
-        Reply::Chain {
+        KeeperReply::Chain {
             presence: presence(&state, turn),
             links: state.ledger.chain(turn, |_| false),
         }
     }
 
     /// Gives the records of programs, up to a bound of bytes.
-    fn records(&self, programs: &[Arc<str>]) -> Reply {
+    fn records(&self, programs: &[Arc<str>]) -> KeeperReply {
         let state = self.state();
         let mut records = Vec::new();
         let mut bytes = 0;
@@ -374,7 +378,7 @@
             records.extend(more);
             count += 1;
         }
-        Reply::Records {
+        KeeperReply::Records {
             records,
             programs: count,
         }
@@ -397,7 +401,7 @@
             }
             drop(state);
             if dropped > 0 || wasteful {
-                let note = Note::new("programs_expired").with("count", dropped);
+                let note = LogEvent::new("programs_expired").with("count", dropped);
                 self.note(note.with("live_bytes", live).with("disk_bytes", on_disk));
             }
         }
@@ -455,7 +459,7 @@
         let link = match peer::accept(stream, hello).await {
             Ok(link) => link,
             Err(error) => {
-                self.note(Note::new("link_refused").with("why", error));
+                self.note(LogEvent::new("link_refused").with("why", error));
                 return;
             }
         };
@@ -464,7 +468,7 @@
             node: peer.as_str().into(),
             boot: link.peer.boot,
         };
-        self.note(Note::new("link_up").with("peer", &peer));
+        self.note(LogEvent::new("link_up").with("peer", &peer));
         let (sender, outgoing) = async_channel::unbounded();
         let (incoming, questions) = async_channel::unbounded();
         let answering = async {
@@ -478,7 +482,7 @@
         let running = link.run(outgoing, &incoming, |message: KeeperMessage| message);
         let error = futures_lite::future::or(running, answering).await;
         self.note(
-            Note::new("link_down")
+            LogEvent::new("link_down")
                 .with("peer", &peer)
                 .with("why", error),
         );
@@ -515,7 +519,7 @@
     }
     log::note(
         &common.node,
-        &Note::new("started")
+        &LogEvent::new("started")
             .with("role", "keeper")
             .with("records", found.records.len())
             .with("torn_bytes", found.torn)
@@ -540,7 +544,7 @@
         state: Mutex::new(State { ledger, whole }),
         cut_off: false.into(),
         requests: Mutex::default(),
-        allowances: Mutex::new(AllowanceBook::new(
+        allowances: Mutex::new(AllowanceCounter::new(
             common.allowances.window(),
             now,
             settings.first && empty,
@@ -577,7 +581,10 @@
     let list = KeeperList::new(keeper.clone(), replicas, &settings);
     smol::spawn(list.follow()).detach();
     let _ = stop.recv().await;
-    log::note(&common.node, &Note::new("stopped").with("role", "keeper"));
+    log::note(
+        &common.node,
+        &LogEvent::new("stopped").with("role", "keeper"),
+    );
     log::flush();
     Ok(())
 }
--- a/net/src/load_reporter.rs
+++ b/net/src/load_reporter.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::effect::LogEvent;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::load_report::LoadReport;
-use limpetferry_lib::report_schedule::Duty;
-use limpetferry_lib::report_schedule::ReportTimes;
+use limpetferry_lib::report_schedule::KeeperRole;
+use limpetferry_lib::report_schedule::ReportSchedule;
 use limpetferry_lib::time::Time;
 
 use crate::clock::Clock;
@@ -59,7 +59,7 @@
     /// What its settings say of the gateway.
     settled: GatewayState,
     /// The keepers that hear from it, and when they did last.
-    times: HashMap<Arc<str>, ReportTimes>,
+    times: HashMap<Arc<str>, ReportSchedule>,
     is_known: bool,
 }
 
@@ -100,7 +100,10 @@
         self.times.retain(|node, _| keepers.contains(node));
         let busy = self.loads.is_busy();
         let reporters = self.loads.reporters(now);
-        for (keeper, duty) in keepers.iter().zip([Duty::First, Duty::Second]) {
+        for (keeper, duty) in keepers
+            .iter()
+            .zip([KeeperRole::Primary, KeeperRole::Standby])
+        {
             let times = self.times.entry(keeper.clone()).or_default();
             if times.is_due(now, duty, busy, reporters) {
                 let since = times.last();
@@ -135,7 +138,7 @@
                 let Some(Ok(heard)) = within(ANSWER_WAIT, heard.recv()).await else {
                     return;
                 };
-                if let Some(Reply::Loads(summary)) = heard.reply {
+                if let Some(KeeperReply::Loads(summary)) = heard.reply {
                     let mut known = site.known();
                     known.fleet.hear_loads(now, &summary.servers);
                     known.fleet.hear_places(now, &summary.places);
@@ -148,7 +151,8 @@
     }
 
     fn ask(&self, keeper: &str, report: LoadReport, sender: &HeardSender) -> bool {
-        self.replicas.ask(keeper, Question::Load(report), sender)
+        self.replicas
+            .ask(keeper, KeeperRequest::Load(report), sender)
     }
 
     /// Notes that the load of others is known from now on, or no longer.
@@ -157,7 +161,7 @@
         if std::mem::replace(&mut self.is_known, is_known) == is_known {
             return;
         }
-        let note = Note::new(if is_known {
+        let note = LogEvent::new(if is_known {
             "load_known"
         } else {
             "load_unknown"
--- a/net/src/load_reports.rs
+++ b/net/src/load_reports.rs
@@ -7,8 +7,8 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
-use limpetferry_lib::load_estimator::KnownLoads;
+use limpetferry_lib::effect::LogEvent;
+use limpetferry_lib::load_estimator::LoadEstimator;
 use limpetferry_lib::load_estimator::OwnUse;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::load_report::LoadSummary;
@@ -21,7 +21,7 @@
 
 #[derive(Default)]
 struct Inner {
-    known: KnownLoads,
+    known: LoadEstimator,
     /// Where it takes requests from other gateways.
     address: Option<SocketAddr>,
     late: Duration,
@@ -127,11 +127,11 @@
     }
 
     /// Returns a line on each service whose load is known.
-    pub fn notes(&self, now: Time) -> Vec<Note> {
+    pub fn notes(&self, now: Time) -> Vec<LogEvent> {
         let inner = self.inner();
         let estimates = inner.known.estimates(now);
         let notes = estimates.map(|(service, estimate)| {
-            Note::new("load")
+            LogEvent::new("load")
                 .with("service", service)
                 .with("slots", estimate.slots)
                 .with("running", estimate.running.round())
--- a/net/src/log.rs
+++ b/net/src/log.rs
@@ -1,7 +1,7 @@
 //! Log lines: one of key=value pairs for each event, through log4rs.
 
 use eyre::WrapErr as _;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use log::LevelFilter;
 use log4rs::append::Append;
 use log4rs::append::file::FileAppender;
@@ -58,7 +58,7 @@
 }
 
 /// Writes an event as one line.
-pub fn note(node: &str, note: &Note) {
+pub fn note(node: &str, note: &LogEvent) {
     let level = if note.event == "call_ended" {
         log::Level::Debug
     } else {
@@ -72,7 +72,7 @@
 /// Returns the pairs of an event as text. Values are quoted where they hold
 /// anything but plain characters, so that no caller can forge a pair or a
 /// line.
-pub fn line(node: &str, note: &Note) -> String {
+pub fn line(node: &str, note: &LogEvent) -> String {
     let mut text = format!("node={} event={}", escape(node), note.event);
     for (key, value) in &note.pairs {
         text.push(' ');
--- a/net/src/operators.rs
+++ b/net/src/operators.rs
@@ -12,7 +12,7 @@
 use limpetferry_lib::id::CallId;
 use limpetferry_lib::id::NodeId;
 use limpetferry_lib::id::Operator;
-use limpetferry_lib::message::Judgement;
+use limpetferry_lib::message::OutcomeDecision;
 use limpetferry_lib::message::Reply;
 use limpetferry_lib::message::Request as Ask;
 use limpetferry_lib::outcome::Refusal;
@@ -171,8 +171,8 @@
         let (envelope, revision) = read(handle, operator).await?;
         let applied = patch::apply(&envelope, &patch, operator.as_str(), unix_secs());
         let (next, audit) = match applied.map_err(patch_refusal)? {
-            Applied::Before(version) => return Ok(applied_answer(version.0)),
-            Applied::Now(next, audit) => (next, audit),
+            Applied::AlreadyApplied(version) => return Ok(applied_answer(version.0)),
+            Applied::New(next, audit) => (next, audit),
         };
         let writes = vec![
             (keys::config(operator), to_text(&*next)),
@@ -257,7 +257,7 @@
         .program
         .parse()
         .map_err(|error| Refusal::with(Code::BadRequest, format!("{error}")))?;
-    let judgement = Judgement {
+    let judgement = OutcomeDecision {
         program,
         operator,
         call: CallId::derive(&body.program, &body.key),
--- a/net/src/overload_watch.rs
+++ b/net/src/overload_watch.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::load_report::ServiceLoads as _;
-use limpetferry_lib::overload::Strain;
+use limpetferry_lib::overload::Congestion;
 use limpetferry_lib::time::Time;
 
 use crate::gateway::Gateway;
@@ -44,7 +44,7 @@
     });
     let strain = estimate
         .zip(slowdown)
-        .map(|(estimate, slowdown)| Strain::new(&estimate, slowdown));
+        .map(|(estimate, slowdown)| Congestion::new(&estimate, slowdown));
     let (state, changed) = gateway.overload()?.observe(now, service, strain)?;
     if changed {
         let event = if state.overloaded {
@@ -52,7 +52,7 @@
         } else {
             "overload_over"
         };
-        let note = Note::new(event)
+        let note = LogEvent::new(event)
             .with("service", service)
             .with("share", format!("{:.2}", state.admitted))
             .with("load", format!("{:.2}", state.load))
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -6,7 +6,7 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use limpetferry_lib::criteria::Connected;
+use limpetferry_lib::criteria::IdleConnections;
 use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::idle_limit::IdleLimit;
 use limpetferry_lib::time::Time;
@@ -89,7 +89,7 @@
     longest: Duration,
 }
 
-impl Connected for Warm<'_> {
+impl IdleConnections for Warm<'_> {
     fn has(&self, server: ServerKey) -> bool {
         let last = self.idle.get(&server).and_then(|list| list.last());
         last.is_some_and(|last| last.is_usable(self.now) && last.age(self.now) <= self.longest)
--- a/net/src/relay.rs
+++ b/net/src/relay.rs
@@ -17,7 +17,7 @@
 use limpetferry_lib::ledger::Begin;
 use limpetferry_lib::routing::Kind;
 use limpetferry_lib::routing::Route;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::workspace::Caller;
 use limpetferry_platform::header;
@@ -325,22 +325,22 @@
     pub async fn collect(&self, mut started: Started) -> Result<Response<Body>, Failure> {
         let read = within(self.left(), started.body.collect()).await;
         let Some(read) = read else {
-            started.lease.end(Outcome::Abandoned, false);
+            started.lease.end(ServerOutcome::Abandoned, false);
             return Err(Failure::Late);
         };
         let body = match read {
             Ok(body) => body.to_bytes(),
             Err(error) => {
-                started.lease.end(Outcome::Broken, false);
+                started.lease.end(ServerOutcome::Broken, false);
                 return Err(Failure::Unknown(error.to_string()));
             }
         };
         started.lease.heard();
         let server = started.lease.server.clone();
         let outcome = if started.head.status.is_server_error() {
-            Outcome::Failed
+            ServerOutcome::Failed
         } else {
-            Outcome::Answered
+            ServerOutcome::Answered
         };
         if started.head.status.is_success() {
             started.lease.observe_plain();
--- a/net/src/reload.rs
+++ b/net/src/reload.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use async_channel::Receiver;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 
 use crate::log;
 use crate::settings;
@@ -61,14 +61,14 @@
                 Ok(changed) => {
                     refused.clear();
                     if changed || signalled {
-                        let note = Note::new("reloaded").with("changed", changed);
+                        let note = LogEvent::new("reloaded").with("changed", changed);
                         log::note(&node, &note.with("signal", signalled));
                     }
                 }
                 Err(error) => {
                     let why = error.to_string();
                     if signalled || why != refused {
-                        let note = Note::new("reload_refused").with("why", &why);
+                        let note = LogEvent::new("reload_refused").with("why", &why);
                         log::note(&node, &note.with("signal", signalled));
                     }
                     refused = why;
--- a/net/src/replicas.rs
+++ b/net/src/replicas.rs
@@ -7,13 +7,13 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::NodeId;
 use limpetferry_lib::keeper_protocol::KeeperMessage;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
-use limpetferry_lib::keeper_protocol::Ticket;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
+use limpetferry_lib::keeper_protocol::RequestId;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::time::Time;
 
@@ -34,7 +34,7 @@
     /// Name of the keeper.
     pub node: Arc<str>,
     /// Its answer; `None` if the link ended before.
-    pub reply: Option<Reply>,
+    pub reply: Option<KeeperReply>,
 }
 
 /// Where answers go.
@@ -50,7 +50,7 @@
     takes_load: bool,
     /// Since when the link has been as it is now.
     since: Time,
-    pending: HashMap<Ticket, HeardSender>,
+    pending: HashMap<RequestId, HeardSender>,
     task: smol::Task<()>,
 }
 
@@ -133,9 +133,9 @@
     /// # Panics
     ///
     /// Panics if another thread panicked while it held the lock.
-    pub fn ask(&self, node: &str, question: Question, heard: &HeardSender) -> bool {
+    pub fn ask(&self, node: &str, question: KeeperRequest, heard: &HeardSender) -> bool {
         let mut inner = self.inner();
-        let ticket = Ticket(inner.next);
+        let ticket = RequestId(inner.next);
         inner.next += 1;
         let Some(dialled) = inner.keepers.get_mut(node) else {
             return false;
@@ -230,12 +230,12 @@
                     self.carry(&node, link).await;
                 }
                 Ok(link) => {
-                    let note = Note::new("keeper_crossed").with("keeper", &node);
+                    let note = LogEvent::new("keeper_crossed").with("keeper", &node);
                     self.note(note.with("other", &link.peer.node));
                 }
                 Err(error) => {
                     if !told {
-                        let note = Note::new("keeper_unreachable").with("keeper", &node);
+                        let note = LogEvent::new("keeper_unreachable").with("keeper", &node);
                         self.note(note.with("why", error));
                     }
                     told = true;
@@ -255,7 +255,7 @@
             dialled.takes_load = link.peer.takes_load();
             dialled.since = self.clock.now();
         }
-        self.note(Note::new("keeper_regained").with("keeper", node));
+        self.note(LogEvent::new("keeper_regained").with("keeper", node));
         let (incoming, replies) = async_channel::unbounded();
         let reading = async {
             while let Ok(message) = replies.recv().await {
@@ -275,7 +275,7 @@
         };
         lose(node, pending);
         self.note(
-            Note::new("keeper_lost")
+            LogEvent::new("keeper_lost")
                 .with("keeper", node)
                 .with("why", error),
         );
@@ -290,7 +290,7 @@
             return;
         };
         // After a noted turn, its syncing is still to come.
-        let asker = if matches!(reply, Reply::Noted { .. }) {
+        let asker = if matches!(reply, KeeperReply::Noted { .. }) {
             dialled.pending.get(&ticket).cloned()
         } else {
             dialled.pending.remove(&ticket)
@@ -306,12 +306,12 @@
         }
     }
 
-    fn note(&self, note: Note) {
+    fn note(&self, note: LogEvent) {
         log::note(self.hello.node.as_str(), &note);
     }
 }
 
-fn lose(node: &Arc<str>, pending: HashMap<Ticket, HeardSender>) {
+fn lose(node: &Arc<str>, pending: HashMap<RequestId, HeardSender>) {
     for asker in pending.into_values() {
         let _ = asker.try_send(Heard {
             node: node.clone(),
--- a/net/src/side_node.rs
+++ b/net/src/side_node.rs
@@ -8,9 +8,9 @@
 use async_channel::Receiver;
 use async_channel::Sender;
 use eyre::WrapErr as _;
+use limpetferry_lib::effect::BackendRequest;
 use limpetferry_lib::effect::Effect;
-use limpetferry_lib::effect::Note;
-use limpetferry_lib::effect::Work;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::entry;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::CallId;
@@ -98,11 +98,14 @@
     let links = Links::new(hello, link_events);
     smol::spawn(links.listen(peers)).detach();
     metrics.set_ready(true);
-    crate::log::note(node.id.as_str(), &Note::new("started").with("boot", boot));
+    crate::log::note(
+        node.id.as_str(),
+        &LogEvent::new("started").with("boot", boot),
+    );
     task.run(links_in, stop).await;
     drop(end);
     let _ = store.delete(&keys::node(&node.id)).await;
-    crate::log::note(node.id.as_str(), &Note::new("stopped"));
+    crate::log::note(node.id.as_str(), &LogEvent::new("stopped"));
     Ok(())
 }
 
@@ -160,7 +163,7 @@
     fn recover(&mut self, copies: Box<dyn CopyStore>, found: Option<Found>) {
         self.copies = copies;
         let Some(found) = found else { return };
-        let note = Note::new("copies_found")
+        let note = LogEvent::new("copies_found")
             .with("records", found.records.len())
             .with("torn_bytes", found.torn)
             .with("given_up", found.stale);
@@ -185,16 +188,16 @@
     }
 
     fn give_up_copies(&mut self, why: &CopyError) {
-        self.note(&Note::new("copies_given_up").with("why", why));
+        self.note(&LogEvent::new("copies_given_up").with("why", why));
         if let Err(error) = self.copies.clear() {
             // Nothing else keeps a later life from handing out a stale copy.
-            self.note(&Note::new("copies_left").with("why", &error));
+            self.note(&LogEvent::new("copies_left").with("why", &error));
             std::process::exit(EXIT_COPIES);
         }
         self.copies = Box::new(NoCopies);
     }
 
-    fn note(&self, note: &Note) {
+    fn note(&self, note: &LogEvent) {
         crate::log::note(self.settings.common.node.as_str(), note);
     }
 
@@ -242,7 +245,7 @@
                 Got::Stop => {
                     stopping = Some(Instant::now());
                     self.metrics.set_ready(false);
-                    self.step(Event::Leave);
+                    self.step(Event::ShutDown);
                 }
             }
             if let Some(since) = stopping
@@ -259,7 +262,7 @@
         }
         let over = since.elapsed() >= limit;
         if over {
-            let note = Note::new("stop_cut_short")
+            let note = LogEvent::new("stop_cut_short")
                 .with("running", self.side.load().running)
                 .with("records", self.side.records());
             self.note(&note);
@@ -338,7 +341,7 @@
         let mut effects = Vec::new();
         self.side.step(self.clock.now(), event, &mut effects);
         for effect in effects {
-            if let Effect::Note(_) = &effect {
+            if let Effect::Log(_) = &effect {
                 let versions = self.side.documents().versions();
                 self.metrics.set_versions(&versions);
             }
@@ -360,17 +363,17 @@
                 self.running.remove(&(call, attempt));
             }
             Effect::Release { program } => self.release(program),
-            Effect::Note(note) => self.note(&note),
+            Effect::Log(note) => self.note(&note),
             Effect::Store(record) => self.store_copy(&record),
             // For entries only.
             Effect::Chunk { .. }
             | Effect::Finish { .. }
             | Effect::Swap { .. }
-            | Effect::Reread { .. } => {}
+            | Effect::ReadBlock { .. } => {}
         }
     }
 
-    fn start(&mut self, call: CallId, attempt: u64, work: Work) {
+    fn start(&mut self, call: CallId, attempt: u64, work: BackendRequest) {
         let (backend, ends) = (self.backend.clone(), self.ends.clone());
         let task = smol::spawn(async move {
             let end = backend
--- a/net/src/site.rs
+++ b/net/src/site.rs
@@ -10,10 +10,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
-use limpetferry_lib::fleet::LAPSE_WAIT;
+use limpetferry_lib::effect::LogEvent;
+use limpetferry_lib::fleet::REGISTER_GRACE;
 use limpetferry_lib::keeper_protocol::Change;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::KeeperReply;
 use limpetferry_lib::keeper_protocol::Snapshot;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::routing::Routing;
@@ -94,7 +94,7 @@
         self.known.lock().expect("no panic while locked")
     }
 
-    pub(crate) fn note(&self, note: Note) {
+    pub(crate) fn note(&self, note: LogEvent) {
         log::note(&self.node, &note);
     }
 
@@ -154,19 +154,19 @@
 
     /// Returns what has changed after a revision, or all if that is too long
     /// ago; `None` if nothing has.
-    pub fn news(&self, after: u64) -> Option<Reply> {
+    pub fn news(&self, after: u64) -> Option<KeeperReply> {
         let known = self.known();
         if known.revision <= after {
             return None;
         }
         let away = !self.hears_store();
         Some(match known.changes(after) {
-            Some(changes) => Reply::Changes {
+            Some(changes) => KeeperReply::Changes {
                 changes,
                 revision: known.revision,
                 away,
             },
-            None => Reply::Snapshot {
+            None => KeeperReply::Snapshot {
                 snapshot: known.snapshot(),
                 away,
             },
@@ -218,7 +218,7 @@
         if revision <= self.known().revision {
             return;
         }
-        let note = Note::new("snapshot")
+        let note = LogEvent::new("snapshot")
             .with("from", from)
             .with("revision", revision);
         self.note(note.with("items", snapshot.items.len()));
@@ -266,7 +266,7 @@
 
     fn routing_unread(&self, error: &DocumentError, revision: u64) {
         self.note(
-            Note::new("routing_unread")
+            LogEvent::new("routing_unread")
                 .with("why", error)
                 .with("revision", revision)
                 .with("remedy", "the last good one stays in force"),
@@ -316,7 +316,7 @@
         }
         drop(known);
         self.note(
-            Note::new("retire")
+            LogEvent::new("retire")
                 .with("keeper", node)
                 .with("asked", asked),
         );
@@ -327,7 +327,7 @@
             Ok(server) => server,
             Err(error) => return self.server_unread(id, &error, revision),
         };
-        let note = Note::new("server")
+        let note = LogEvent::new("server")
             .with("server", id)
             .with("service", &server.service)
             .with("address", server.address)
@@ -345,7 +345,7 @@
     /// what it says of the server is not known to hold.
     fn server_unread(&self, id: &str, error: &DocumentError, revision: u64) {
         self.note(
-            Note::new("server_unread")
+            LogEvent::new("server_unread")
                 .with("server", id)
                 .with("why", error)
                 .with("revision", revision),
@@ -355,7 +355,7 @@
 
     fn server_gone(&self, id: &str, revision: u64, origin: Origin<'_>) {
         self.note(
-            Note::new("server_gone")
+            LogEvent::new("server_gone")
                 .with("server", id)
                 .with("lapsed", origin.lapsed)
                 .with("revision", revision)
@@ -363,7 +363,7 @@
         );
         let mut known = self.known();
         if origin.lapsed {
-            known.fleet.lapse(id, self.clock.now() + LAPSE_WAIT);
+            known.fleet.lapse(id, self.clock.now() + REGISTER_GRACE);
         } else {
             known.fleet.drop_server(id);
         }
@@ -375,7 +375,7 @@
             .routing
             .as_ref()
             .is_none_or(|old| old.version < routing.version);
-        let note = Note::new("routing")
+        let note = LogEvent::new("routing")
             .with("version", routing.version)
             .with("routes", routing.len())
             .with(
@@ -395,7 +395,7 @@
     fn keepers(&self, value: &[u8], revision: u64) {
         match serde_json::from_slice::<Membership>(value) {
             Ok(membership) => self.take_keepers(membership, revision),
-            Err(error) => self.note(Note::new("keepers_unread").with("why", error)),
+            Err(error) => self.note(LogEvent::new("keepers_unread").with("why", error)),
         }
     }
 
@@ -408,7 +408,7 @@
         if membership.epoch <= known.keepers.epoch {
             return;
         }
-        let note = Note::new("keepers")
+        let note = LogEvent::new("keepers")
             .with("epoch", membership.epoch)
             .with("count", membership.keepers.len())
             .with("changing", membership.is_changing())
@@ -436,7 +436,7 @@
             smol::Timer::after(EXPIRE_EVERY).await;
             let gone = self.known().fleet.expire(self.clock.now());
             for id in gone {
-                self.note(Note::new("server_expired").with("server", id));
+                self.note(LogEvent::new("server_expired").with("server", id));
             }
         }
     }
--- a/net/src/site_watch.rs
+++ b/net/src/site_watch.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use futures_lite::future;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::store_watch::StoreWatch;
 use limpetferry_platform::store::Changes;
 use limpetferry_platform::store::ReplyError;
@@ -78,7 +78,7 @@
                 }
                 Err(PlatformError::Reply(ReplyError::Compacted)) => {
                     self.note(
-                        Note::new("store_history_lost").with("revision", self.known().revision),
+                        LogEvent::new("store_history_lost").with("revision", self.known().revision),
                     );
                     fresh = false;
                     continue;
@@ -115,7 +115,7 @@
         let page = store.list("").await?;
         let lapsed = self.back(contact, page.revision);
         self.note(
-            Note::new("store_read")
+            LogEvent::new("store_read")
                 .with("revision", page.revision)
                 .with("items", page.items.len())
                 .with("known", self.known().revision),
@@ -188,7 +188,7 @@
         self.away.store(false, Ordering::Relaxed);
         self.relies.store(false, Ordering::Relaxed);
         if before != Contact::Heard {
-            self.note(Note::new("store_regained").with("revision", revision));
+            self.note(LogEvent::new("store_regained").with("revision", revision));
         }
         before == Contact::Lost
     }
@@ -203,7 +203,7 @@
         if before == Contact::Heard {
             self.away.store(true, Ordering::Relaxed);
             self.tell_waiting();
-            self.note(Note::new("store_lost").with("why", error));
+            self.note(LogEvent::new("store_lost").with("why", error));
         }
     }
 }
--- a/net/src/steps.rs
+++ b/net/src/steps.rs
@@ -5,9 +5,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::server::Load;
-use limpetferry_lib::service_time::Work;
+use limpetferry_lib::service_time::RequestConditions;
 
 /// Milliseconds from a request's first byte to each step, those that it waited
 /// for a server with room, and the requests that
@@ -73,14 +73,14 @@
     }
 
     /// Notes what the request was expected to meet at its server.
-    pub fn expect(&self, work: &Work) {
+    pub fn expect(&self, work: &RequestConditions) {
         let cold = u32::try_from(work.cold).unwrap_or(u32::MAX);
         self.cold.store(cold, Ordering::Relaxed);
         self.others.store(work.others as u32, Ordering::Relaxed);
     }
 
     /// Adds the steps to a line.
-    pub fn tell(&self, note: Note) -> Note {
+    pub fn tell(&self, note: LogEvent) -> LogEvent {
         let number = |slot: &AtomicU32| slot.load(Ordering::Relaxed);
         note.with("read_ms", number(&self.read))
             .with("opened_ms", number(&self.opened))
--- a/net/src/turn_end.rs
+++ b/net/src/turn_end.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
 use limpetferry_lib::ledger::Begin;
 use limpetferry_lib::ledger::Finish;
 use limpetferry_lib::membership::Membership;
@@ -109,10 +109,10 @@
                 continue;
             };
             match heard.reply {
-                Some(Reply::Synced) => {
+                Some(KeeperReply::Synced) => {
                     ending.synced.insert(heard.node);
                 }
-                Some(Reply::Stale(membership)) => {
+                Some(KeeperReply::Stale(membership)) => {
                     self.site.take_keepers(membership, 0);
                     return None;
                 }
@@ -136,7 +136,7 @@
                 continue;
             }
             let full = !ending.noted.contains(node);
-            let question = Question::End {
+            let question = KeeperRequest::End {
                 begin: full.then(|| begin.clone()),
                 finish: finish.clone(),
                 place: ending.place,
--- a/net/src/turns.rs
+++ b/net/src/turns.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use limpetferry_lib::chain_cache::Chains;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::chain_cache::ChainCache;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
 use limpetferry_lib::ledger::Begin;
+use limpetferry_lib::ledger::ChainLink;
 use limpetferry_lib::ledger::Finish;
-use limpetferry_lib::ledger::Link;
 use limpetferry_lib::ledger::Presence;
 use limpetferry_lib::membership::Membership;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::turn_admission::Opening;
-use limpetferry_lib::turn_admission::Step;
-use limpetferry_lib::turn_admission::Verdict;
+use limpetferry_lib::turn_admission::NextAction;
+use limpetferry_lib::turn_admission::ReplicaEvent;
+use limpetferry_lib::turn_admission::TurnAdmission;
 
 use crate::clock::Clock;
 use crate::replicas::Heard;
@@ -64,7 +64,7 @@
     pub(crate) replicas: Arc<Replicas>,
     pub(crate) faults: usize,
     pub(crate) clock: Clock,
-    chains: Mutex<Chains>,
+    chains: Mutex<ChainCache>,
 }
 
 /// A turn that may run.
@@ -81,7 +81,7 @@
 /// The questions about one turn, by one list of keepers.
 struct Round {
     membership: Arc<Membership>,
-    opening: Opening,
+    opening: TurnAdmission,
     sender: HeardSender,
     heard: async_channel::Receiver<Heard>,
     /// Keepers that were asked and whose link has not ended since.
@@ -115,7 +115,7 @@
             replicas,
             faults,
             clock,
-            chains: Mutex::new(Chains::new(CHAIN_BYTES)),
+            chains: Mutex::new(ChainCache::new(CHAIN_BYTES)),
         })
     }
 
@@ -141,7 +141,7 @@
         previous.is_some_and(|turn| !chains.has_chain(turn))
     }
 
-    fn remember(&self, links: Vec<Link>) {
+    fn remember(&self, links: Vec<ChainLink>) {
         let mut chains = self.chains.lock().expect("no panic while locked");
         for link in links {
             chains.put(link);
@@ -214,10 +214,10 @@
                 continue;
             };
             match self.take(&mut round, begin, heard) {
-                Some(Verdict::Go) => return Ok(round),
-                Some(Verdict::Spent) => return Err(TurnRefusal::Spent),
-                Some(Verdict::Ask) => self.look_all(&mut round, begin),
-                Some(Verdict::Wait) => {}
+                Some(NextAction::Go) => return Ok(round),
+                Some(NextAction::Spent) => return Err(TurnRefusal::Spent),
+                Some(NextAction::Ask) => self.look_all(&mut round, begin),
+                Some(NextAction::Wait) => {}
                 None => round = self.round(begin, budget),
             }
         }
@@ -229,7 +229,7 @@
         let (sender, heard) = async_channel::unbounded();
         Round {
             membership,
-            opening: Opening::new(replicas, budget, begin.most),
+            opening: TurnAdmission::new(replicas, budget, begin.most),
             sender,
             heard,
             asked: HashSet::new(),
@@ -249,7 +249,7 @@
             if !round.wide && round.opening.replicas().majority(enough) {
                 return;
             }
-            let question = Question::Note {
+            let question = KeeperRequest::Note {
                 begin: begin.clone(),
                 chain,
                 epoch: round.membership.epoch,
@@ -264,7 +264,7 @@
 
     fn look(&self, round: &Round, begin: &Begin, places: &[usize]) {
         for &at in places {
-            let question = Question::Look {
+            let question = KeeperRequest::Look {
                 program: begin.program.clone(),
                 turn: begin.turn.clone(),
             };
@@ -281,12 +281,12 @@
     }
 
     /// Takes an answer; `None` if the list of keepers is an old one.
-    fn take(&self, round: &mut Round, begin: &Begin, heard: Heard) -> Option<Verdict> {
+    fn take(&self, round: &mut Round, begin: &Begin, heard: Heard) -> Option<NextAction> {
         let Some(at) = round.place(&heard.node) else {
-            return Some(Verdict::Wait);
+            return Some(NextAction::Wait);
         };
         let step = match heard.reply {
-            Some(Reply::Noted {
+            Some(KeeperReply::Noted {
                 view,
                 chain,
                 places,
@@ -298,28 +298,28 @@
                     // It noted the turn after the others were asked to look.
                     self.look(round, begin, &[at]);
                 }
-                Step::Noted(view)
+                ReplicaEvent::Noted(view)
             }
-            Some(Reply::Seen(view)) => Step::Seen(view),
-            Some(Reply::Synced) => Step::Synced,
-            Some(Reply::Stale(membership)) => {
+            Some(KeeperReply::Seen(view)) => ReplicaEvent::Seen(view),
+            Some(KeeperReply::Synced) => ReplicaEvent::Synced,
+            Some(KeeperReply::Stale(membership)) => {
                 self.site.take_keepers(membership, 0);
                 return None;
             }
             Some(
-                Reply::Chain { .. }
-                | Reply::Digests { .. }
-                | Reply::Records { .. }
-                | Reply::Snapshot { .. }
-                | Reply::Changes { .. }
-                | Reply::Taken
-                | Reply::Spent(_)
-                | Reply::Loads(_),
-            ) => return Some(Verdict::Wait),
-            Some(Reply::Failed(_)) | None => {
+                KeeperReply::Chain { .. }
+                | KeeperReply::Digests { .. }
+                | KeeperReply::Records { .. }
+                | KeeperReply::Snapshot { .. }
+                | KeeperReply::Changes { .. }
+                | KeeperReply::Taken
+                | KeeperReply::Spent(_)
+                | KeeperReply::Loads(_),
+            ) => return Some(NextAction::Wait),
+            Some(KeeperReply::Failed(_)) | None => {
                 round.asked.remove(&at);
                 round.noted.remove(&at);
-                Step::Lost
+                ReplicaEvent::Lost
             }
         };
         Some(round.opening.step(at, step))
@@ -345,7 +345,7 @@
         let mut never: HashSet<Arc<str>> = HashSet::new();
         loop {
             for keeper in &membership.keepers {
-                let question = Question::Chain { turn: turn.clone() };
+                let question = KeeperRequest::Chain { turn: turn.clone() };
                 if !asked.contains(&keeper.node)
                     && self.replicas.ask(&keeper.node, question, &sender)
                 {
@@ -360,14 +360,14 @@
                 continue;
             };
             match heard.reply {
-                Some(Reply::Chain {
+                Some(KeeperReply::Chain {
                     presence: Presence::Here,
                     links,
                 }) => {
                     self.remember(links);
                     return Ok(());
                 }
-                Some(Reply::Chain {
+                Some(KeeperReply::Chain {
                     presence: Presence::Never,
                     ..
                 }) => {
@@ -423,8 +423,8 @@
                 continue;
             };
             match turns.take(&mut self.round, &self.begin, heard) {
-                Some(Verdict::Spent) => return Err(TurnRefusal::Spent),
-                Some(Verdict::Ask) => turns.look_all(&mut self.round, &self.begin),
+                Some(NextAction::Spent) => return Err(TurnRefusal::Spent),
+                Some(NextAction::Ask) => turns.look_all(&mut self.round, &self.begin),
                 Some(_) => {}
                 None => return Err(TurnRefusal::Unavailable),
             }
@@ -452,7 +452,7 @@
         };
         let done = self.turns.finish(&self.begin, finish, place, &noted).await;
         if done && whole {
-            self.turns.remember(vec![Link {
+            self.turns.remember(vec![ChainLink {
                 turn: self.begin.turn.clone(),
                 previous: self.begin.previous.clone(),
                 text: [&self.begin.input[..], &output[..]].concat().into(),
--- a/net/src/vms.rs
+++ b/net/src/vms.rs
@@ -7,7 +7,7 @@
 use http::Request;
 use http_body_util::Full;
 use limpetferry_lib::entry::Event;
-use limpetferry_lib::member::Listed;
+use limpetferry_lib::member::VmState;
 use serde::Deserialize;
 
 use crate::entry_node::EntryHandle;
@@ -37,7 +37,7 @@
     }
 }
 
-async fn read(client: &Client, address: &str) -> Option<Vec<(String, Listed)>> {
+async fn read(client: &Client, address: &str) -> Option<Vec<(String, VmState)>> {
     let request = Request::get("/vms")
         .header("host", address)
         .body(Full::new(Bytes::new()))
--- a/net/tests/copies.rs
+++ b/net/tests/copies.rs
@@ -10,7 +10,7 @@
 use limpetferry_lib::id::ShardId;
 use limpetferry_lib::message::Change;
 use limpetferry_lib::shard_copies::CopyRecord;
-use limpetferry_lib::shard_copies::Keeper;
+use limpetferry_lib::shard_copies::ShardCopies;
 use limpetferry_net::copies::CopyError;
 use limpetferry_net::copies::CopyStore as _;
 use limpetferry_net::copies::FileCopies;
@@ -76,8 +76,8 @@
     }
 }
 
-fn keeper(records: impl IntoIterator<Item = CopyRecord>) -> Keeper {
-    let mut keeper = Keeper::default();
+fn keeper(records: impl IntoIterator<Item = CopyRecord>) -> ShardCopies {
+    let mut keeper = ShardCopies::default();
     for record in records {
         keeper.replay(record);
     }
--- a/net/tests/links.rs
+++ b/net/tests/links.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::NodeId;
-use limpetferry_lib::message::Beat;
+use limpetferry_lib::message::Heartbeat;
 use limpetferry_lib::message::Message;
 use limpetferry_net::links::LinkEvent;
 use limpetferry_net::links::LinkTable;
@@ -28,7 +28,7 @@
     LinkEvent::Message {
         node: node(),
         link,
-        message: Message::Beat(Beat::default()),
+        message: Message::Beat(Heartbeat::default()),
     }
 }
 
--- a/net/tests/load_reports.rs
+++ b/net/tests/load_reports.rs
@@ -10,15 +10,15 @@
 use limpetferry_lib::id::Digest;
 use limpetferry_lib::id::NodeId;
 use limpetferry_lib::keeper_protocol::KeeperMessage;
-use limpetferry_lib::keeper_protocol::Question;
-use limpetferry_lib::keeper_protocol::Reply;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::load_report::LoadSummary;
 use limpetferry_lib::load_report::ServiceLoad;
 use limpetferry_lib::load_report::ServiceLoads as _;
 use limpetferry_lib::membership::Keeper;
+use limpetferry_lib::membership::MemberState;
 use limpetferry_lib::membership::Membership;
-use limpetferry_lib::membership::Standing;
 use limpetferry_lib::server::Server;
 use limpetferry_lib::server::ServerState;
 use limpetferry_lib::switches::Switches;
@@ -60,7 +60,7 @@
         let member = Keeper {
             node: hello.node.as_str().into(),
             address: listener.local_addr().expect("a bound listener has one"),
-            standing: Standing::Member,
+            standing: MemberState::Member,
             ready: true,
         };
         let summary = LoadSummary {
@@ -98,9 +98,9 @@
         let (incoming, questions) = async_channel::unbounded();
         let answering = async {
             while let Ok(message) = questions.recv().await {
-                if let KeeperMessage::Ask(ticket, Question::Load(_)) = message {
+                if let KeeperMessage::Ask(ticket, KeeperRequest::Load(_)) = message {
                     asked.fetch_add(1, Ordering::Relaxed);
-                    let reply = Reply::Loads(summary.clone());
+                    let reply = KeeperReply::Loads(summary.clone());
                     let _ = sender.try_send(KeeperMessage::Tell(ticket, reply));
                 }
             }
--- a/net/tests/site.rs
+++ b/net/tests/site.rs
@@ -5,7 +5,7 @@
 
 use async_channel::Sender;
 use limpetferry_lib::keeper_protocol::Change;
-use limpetferry_lib::store_watch::MOST_HOLD;
+use limpetferry_lib::store_watch::MAX_HOLD;
 use limpetferry_lib::workspace::KeyDigester;
 use limpetferry_net::clock::Clock;
 use limpetferry_net::platform_store::PlatformStore;
@@ -46,7 +46,7 @@
 async fn watching(store: &StandInPlatform) -> (Arc<Site>, Sender<()>) {
     let (at, open) = listen(any_port(), store.handler()).await;
     let site = site();
-    let following = site.clone().follow(PlatformStore::new(at), MOST_HOLD);
+    let following = site.clone().follow(PlatformStore::new(at), MAX_HOLD);
     smol::spawn(following).detach();
     eventually("the store is watched", async || store.calls() == 3).await;
     (site, open)
--- a/testutils/src/bin/limpetferry-load.rs
+++ b/testutils/src/bin/limpetferry-load.rs
@@ -422,7 +422,7 @@
     use limpetferry_lib::outcome::Answer;
     use limpetferry_lib::outcome::Outcome;
     use limpetferry_lib::program::CallRequest;
-    use limpetferry_lib::program::Supply;
+    use limpetferry_lib::program::HistoryMode;
     use limpetferry_lib::program::Target;
     use limpetferry_lib::program::Urgency;
     use limpetferry_lib::rules::Rules;
@@ -558,7 +558,7 @@
                 path: "/".into(),
             },
             idempotent: false,
-            supply: Supply::Append(None),
+            supply: HistoryMode::Append(None),
             turns: Vec::new(),
             body: Vec::new(),
             tokens: 0,
--- a/testutils/src/experiment.rs
+++ b/testutils/src/experiment.rs
@@ -17,10 +17,10 @@
 use limpetferry_lib::placement::ServerView;
 use limpetferry_lib::placement::Sticky;
 use limpetferry_lib::program::Urgency;
-use limpetferry_lib::queue::FirstCome;
+use limpetferry_lib::queue::Fifo;
 use limpetferry_lib::queue::LeastAttained;
-use limpetferry_lib::queue::Ordering;
 use limpetferry_lib::queue::Queue;
+use limpetferry_lib::queue::RankPolicy;
 use limpetferry_lib::queue::Waiting;
 use limpetferry_lib::speed::Speed;
 use limpetferry_lib::time::Time;
@@ -186,10 +186,10 @@
         }
     }
 
-    fn ordering(self) -> Box<dyn Ordering> {
+    fn ordering(self) -> Box<dyn RankPolicy> {
         match self {
             Self::Shipped => Box::new(LeastAttained),
-            _ => Box::new(FirstCome),
+            _ => Box::new(Fifo),
         }
     }
 }
@@ -298,7 +298,7 @@
     programs: BTreeMap<u64, Program>,
     engines: Vec<Engine>,
     placement: Box<dyn Placement>,
-    ordering: Box<dyn Ordering>,
+    ordering: Box<dyn RankPolicy>,
     stretches: Vec<f64>,
     urgent: (u64, u64),
     prefilled: u64,
--- a/testutils/src/platform_site.rs
+++ b/testutils/src/platform_site.rs
@@ -99,7 +99,7 @@
         Self {
             wired: false,
             switches: Switches::default(),
-            hold: store_watch::HOLD,
+            hold: store_watch::DEFAULT_HOLD,
         }
     }
 }
@@ -245,7 +245,7 @@
     /// Panics if it does not serve in time.
     pub async fn start_wired_patient(gateways: usize, keepers: usize, faults: usize) -> Self {
         let rules = SiteRules {
-            hold: store_watch::MOST_HOLD,
+            hold: store_watch::MAX_HOLD,
             ..SiteRules::wired()
         };
         Self::begin(gateways, keepers, faults, rules).await
