--- a/lib/src/allowance.rs
+++ b/lib/src/allowance.rs
@@ -1,5 +1,5 @@
 //! Rate limits of workspaces over all gateways: the operator's bounds, and the
-//! messages between gateways (`spending`) and keepers (`allowance_book`).
+//! messages between gateways (`rate_limiter`) and keepers (`allowance_counter`).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,7 +42,7 @@
 
 impl AllowanceBounds {
     /// Returns whether the values are within their valid ranges.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let fractions = 0.0..=1.0;
         self.window_s > 0.0
             && self.overrun >= 0.0
--- a/lib/src/allowance_counter.rs
+++ b/lib/src/allowance_counter.rs
@@ -6,7 +6,7 @@
 //! therefore exact except for reports in transit, a keeper that takes over has all
 //! counts after one round of reports, and reports may be lost or duplicated. A
 //! gateway requests permission before it sends only while a workspace is near its
-//! limit (`spending`).
+//! limit (`rate_limiter`).
 //!
 //! Under contention, new programs are refused: each program that started within
 //! the window is counted with the mean number of requests of the workspace's
@@ -304,7 +304,12 @@
 
     /// Applies a gateway's report on a workspace, and decides on the request that
     /// needs permission, if there is one.
-    pub fn take(&mut self, now: Time, gateway: &ProcessStart, report: &UsageReport) -> UsageReply {
+    pub fn apply_report(
+        &mut self,
+        now: Time,
+        gateway: &ProcessStart,
+        report: &UsageReport,
+    ) -> UsageReply {
         self.clean_up(now);
         self.last_reports.insert(gateway.clone(), now);
         let limit = self.limit(now, report);
--- a/lib/src/call.rs
+++ b/lib/src/call.rs
@@ -32,7 +32,7 @@
     /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
     /// Maximum number of tokens to generate.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
     /// Key of the object that the request concerns.
@@ -52,7 +52,7 @@
     /// Its id.
     pub id: Arc<str>,
     /// The chain of turns within it.
-    pub line: Arc<str>,
+    pub session: Arc<str>,
     /// Time left until its deadline.
     pub remaining: Option<Duration>,
     /// Tokens that all its turns may generate together.
--- a/lib/src/call_end.rs
+++ b/lib/src/call_end.rs
@@ -36,7 +36,7 @@
     /// Refuses a call that is not running at any server.
     pub(crate) fn refuse(&mut self, cx: &mut Context<'_>, id: CallId, refusal: Refusal) {
         debug_assert!(refusal.code.ran() != Ran::Ran);
-        self.conclude(cx, id, Outcome::Refused(refusal));
+        self.record_outcome(cx, id, Outcome::Refused(refusal));
     }
 
     /// Cancels a call: immediately if it has not been sent to a server,
@@ -64,7 +64,7 @@
 
     /// Records the outcome of a call. The callers get the reply once the
     /// keeper has acknowledged the outcome.
-    pub(crate) fn conclude(&mut self, cx: &mut Context<'_>, id: CallId, outcome: Outcome) {
+    pub(crate) fn record_outcome(&mut self, cx: &mut Context<'_>, id: CallId, outcome: Outcome) {
         self.count_outstanding(id, false);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -76,10 +76,10 @@
             let received_len = call.bytes.len();
             let rest = answer.body.get(received_len..).unwrap_or_default().to_vec();
             call.bytes.extend_from_slice(&rest);
-            for watcher in &call.watchers {
+            for subscriber in &call.subscribers {
                 send_bytes(
                     cx,
-                    watcher,
+                    subscriber,
                     call.record.attempt,
                     &call.bytes,
                     received_len as u64,
@@ -97,13 +97,13 @@
         };
         self.release_admission(cx, id);
         let Some(shard) = self.calls.get(&id).and_then(|call| call.shard) else {
-            self.forget_done(cx, id);
+            self.drop_server_record(cx, id);
             self.finish(cx, id);
             return;
         };
         let change = self.apply_outcome(cx, id, &outcome, server.as_ref(), was_awaiting_turn);
-        let seq = self.keep(cx, shard, change.unwrap_or(Change::Probe));
-        self.after(cx, shard, seq, DeferredAction::Finish(id));
+        let seq = self.replicate(cx, shard, change.unwrap_or(Change::Probe));
+        self.run_after_ack(cx, shard, seq, DeferredAction::Finish(id));
     }
 
     /// Updates the program of a call that has ended. Returns the change for
@@ -143,7 +143,7 @@
         }
         program.copy.put(record.clone());
         let (turns, replace) = history_update(&record, outcome);
-        program.copy.remember(replace, turns.clone());
+        program.copy.extend_history(replace, turns.clone());
         if let Outcome::Answer(answer) = outcome {
             program.copy.head.attained += answer.tokens;
         }
@@ -215,15 +215,15 @@
             .programs
             .get(&call.program)
             .map_or(Digest::default(), |program| program.copy.history.digest());
-        for watcher in &call.watchers {
-            reply(cx, watcher, ending_reply(&call.record, &outcome, digest));
+        for subscriber in &call.subscribers {
+            reply(cx, subscriber, ending_reply(&call.record, &outcome, digest));
         }
         let note = LogEvent::new("call_ended")
             .with("call", id)
             .with("program", call.program)
             .with("number", call.record.number)
             .with("outcome", outcome_label(&outcome));
-        cx.note(note);
+        cx.log(note);
         let Some(program) = self.programs.get_mut(&call.program) else {
             return;
         };
@@ -236,23 +236,23 @@
     pub(crate) fn replay_answer(
         &mut self,
         cx: &mut Context<'_>,
-        watcher: &Subscriber,
+        subscriber: &Subscriber,
         program: ProgramId,
         record: &CallRecord,
         offset: u64,
     ) {
         let CallStage::Done(outcome) = &record.stage else {
-            reply(cx, watcher, Reply::Refused(Refusal::new(Code::Settling)));
+            reply(cx, subscriber, Reply::Refused(Refusal::new(Code::Settling)));
             return;
         };
         if let Outcome::Answer(answer) = outcome {
-            send_bytes(cx, watcher, record.attempt, &answer.body, offset);
+            send_bytes(cx, subscriber, record.attempt, &answer.body, offset);
         }
         let digest = self
             .programs
             .get(&program)
             .map_or(Digest::default(), |program| program.copy.history.digest());
-        reply(cx, watcher, ending_reply(record, outcome, digest));
+        reply(cx, subscriber, ending_reply(record, outcome, digest));
     }
 
     pub(crate) fn withdraw(
@@ -265,10 +265,10 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.watchers
-            .retain(|watcher| watcher.ticket != ticket || watcher.node != *from);
+        call.subscribers
+            .retain(|subscriber| subscriber.ticket != ticket || subscriber.node != *from);
         let keyed = call.request.as_ref().is_none_or(|request| request.keyed);
-        if call.watchers.is_empty() && !keyed && call.record.idempotent {
+        if call.subscribers.is_empty() && !keyed && call.record.idempotent {
             // No caller can fetch this answer any more.
             self.cancel(cx, id, Code::DeadlinePassed);
         }
--- a/lib/src/call_start.rs
+++ b/lib/src/call_start.rs
@@ -49,29 +49,35 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         request: Box<CallRequest>,
         offset: u64,
     ) {
         if let Some(call) = self.calls.get_mut(&request.call) {
             if call.record.digest != request.digest {
-                reply(cx, &watcher, Reply::Refused(Refusal::new(Code::IdReused)));
+                reply(
+                    cx,
+                    &subscriber,
+                    Reply::Refused(Refusal::new(Code::IdReused)),
+                );
                 return;
             }
-            send_bytes(cx, &watcher, call.record.attempt, &call.bytes, offset);
+            send_bytes(cx, &subscriber, call.record.attempt, &call.bytes, offset);
             if call.request.is_none() {
                 call.deadline = cx.now + request.patience;
                 call.request = Some(request);
             }
-            call.watchers.push(watcher);
+            call.subscribers.push(subscriber);
             return;
         }
         match self.look_up_call(cx, shard, &request) {
-            Ok(CallLookup::New(number)) => self.enqueue_call(cx, shard, watcher, request, number),
+            Ok(CallLookup::New(number)) => {
+                self.enqueue_call(cx, shard, subscriber, request, number)
+            }
             Ok(CallLookup::Recorded(record)) => {
-                self.replay_answer(cx, &watcher, request.program, &record, offset)
+                self.replay_answer(cx, &subscriber, request.program, &record, offset)
             }
-            Err(refusal) => self.refuse_request(cx, shard, watcher, refusal),
+            Err(refusal) => self.refuse_request(cx, shard, subscriber, refusal),
         }
     }
 
@@ -84,15 +90,15 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         refusal: Refusal,
     ) {
         match shard {
             Some(shard) if refusal.code.ran() != Ran::Ran => {
-                let seq = self.keep(cx, shard, Change::Probe);
-                self.after(cx, shard, seq, DeferredAction::Refuse(watcher, refusal));
+                let seq = self.replicate(cx, shard, Change::Probe);
+                self.run_after_ack(cx, shard, seq, DeferredAction::Refuse(subscriber, refusal));
             }
-            _ => reply(cx, &watcher, Reply::Refused(refusal)),
+            _ => reply(cx, &subscriber, Reply::Refused(refusal)),
         }
     }
 
@@ -140,14 +146,14 @@
                 .unwrap_or(next),
         };
         if number < next || program.queued.contains_key(&number) {
-            return Err(Refusal::with(
+            return Err(Refusal::with_detail(
                 Code::OutOfTurn,
                 format!("number {number} is taken"),
             ));
         }
         if number > next + cx.rules.turns_ahead {
             let detail = format!("number {number} is too far from the next one, {next}");
-            return Err(Refusal::with(Code::OutOfTurn, detail));
+            return Err(Refusal::with_detail(Code::OutOfTurn, detail));
         }
         Ok(CallLookup::New(number))
     }
@@ -158,7 +164,7 @@
         shard: ShardId,
         request: &CallRequest,
     ) -> Result<(), Refusal> {
-        if !request.program.is_single() {
+        if !request.program.is_single_call() {
             return Err(Refusal::new(Code::ProgramUnknown));
         }
         let copies_lost = self.shards.get(&shard).is_some_and(|held| held.copies_lost);
@@ -167,10 +173,10 @@
             // of its record may be lost. A call within a program is safe: a
             // lost program is refused as unknown.
             let detail = "records of earlier calls were lost; open a program for this call";
-            return Err(Refusal::with(Code::OutcomeUnknown, detail));
+            return Err(Refusal::with_detail(Code::OutcomeUnknown, detail));
         }
         if self.programs.len() >= cx.rules.programs {
-            return Err(Refusal::with(
+            return Err(Refusal::with_detail(
                 Code::Overloaded,
                 "too many programs are open",
             ));
@@ -191,7 +197,7 @@
         let copy = ProgramCopy::new(request.program, head);
         let change = Change::Program(Box::new(copy.clone()));
         self.insert_program(cx, copy);
-        self.keep(cx, shard, change);
+        self.replicate(cx, shard, change);
         Ok(())
     }
 
@@ -199,7 +205,7 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: Option<ShardId>,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         request: Box<CallRequest>,
         number: u64,
     ) {
@@ -224,7 +230,7 @@
             program: request.program,
             record,
             state: State::AwaitingTurn,
-            watchers: vec![watcher],
+            subscribers: vec![subscriber],
             bytes: Vec::new(),
             deadline: cx.now + patience,
             tried: Vec::new(),
@@ -291,12 +297,12 @@
         let history = &program.copy.history;
         history
             .verify()
-            .map_err(|error| Refusal::with(Code::HistoryMismatch, error.to_string()))?;
+            .map_err(|error| Refusal::with_detail(Code::HistoryMismatch, error.to_string()))?;
         if let HistoryMode::Append(Some(digest)) = request.supply
             && digest != history.digest()
         {
             let detail = format!("the history has {}", history.digest());
-            return Err(Refusal::with(Code::HistoryMismatch, detail));
+            return Err(Refusal::with_detail(Code::HistoryMismatch, detail));
         }
         if cx
             .documents
@@ -306,31 +312,31 @@
             return Err(Refusal::new(Code::BadKey));
         }
         let need = Amount::one_call(estimate_tokens(request, history.size()));
-        for ancestor in self.line(call.program) {
+        for ancestor in self.ancestry(call.program) {
             let Some(program) = self.programs.get(&ancestor) else {
                 continue;
             };
             let budget = &program.copy.head.budget;
             budget
                 .check(need)
-                .map_err(|error| Refusal::with(Code::BudgetSpent, error.to_string()))?;
+                .map_err(|error| Refusal::with_detail(Code::BudgetSpent, error.to_string()))?;
         }
         Ok(need)
     }
 
     /// Returns a program and its ancestors, from the program upwards.
-    pub(crate) fn line(&self, id: ProgramId) -> Vec<ProgramId> {
-        let mut line = vec![id];
+    pub(crate) fn ancestry(&self, id: ProgramId) -> Vec<ProgramId> {
+        let mut ancestry = vec![id];
         let mut at = id;
         while let Some(parent) = self.programs.get(&at).and_then(|p| p.copy.head.parent) {
-            line.push(parent);
+            ancestry.push(parent);
             at = parent;
         }
-        line
+        ancestry
     }
 
     pub(crate) fn reserve(&mut self, id: ProgramId, need: Amount) {
-        for ancestor in self.line(id) {
+        for ancestor in self.ancestry(id) {
             if let Some(program) = self.programs.get_mut(&ancestor) {
                 program.copy.head.budget.reserve(need);
             }
@@ -338,7 +344,7 @@
     }
 
     pub(crate) fn settle_budget(&mut self, id: ProgramId, need: Amount, used: Amount) {
-        for ancestor in self.line(id) {
+        for ancestor in self.ancestry(id) {
             if let Some(program) = self.programs.get_mut(&ancestor) {
                 program.copy.head.budget.settle(need, used);
             }
@@ -407,8 +413,8 @@
         };
         program.copy.put(record.clone());
         let change = update(&program.copy, above, Some(record), Vec::new(), false);
-        let seq = self.keep(cx, shard, change);
-        self.after(cx, shard, seq, DeferredAction::Dispatch(id));
+        let seq = self.replicate(cx, shard, change);
+        self.run_after_ack(cx, shard, seq, DeferredAction::Dispatch(id));
     }
 
     pub(crate) fn choose(&mut self, cx: &Context<'_>, id: CallId) -> Option<(NodeId, Boot)> {
@@ -437,9 +443,9 @@
             nodes.push((name.clone(), boot));
             views.push(ServerView {
                 slots: cx.documents.server(name).map_or(1, |rules| rules.slots),
-                busy: sent.calls.max(load.running + load.queued),
+                active_calls: sent.calls.max(load.running + load.queued),
                 backlog: sent.tokens.max(load.tokens),
-                cached: if warm == Some(name) { prompt } else { 0 },
+                cached_tokens: if warm == Some(name) { prompt } else { 0 },
                 pace: load.pace,
             });
         }
--- a/lib/src/callers.rs
+++ b/lib/src/callers.rs
@@ -198,7 +198,7 @@
         self.finish(
             cx,
             ticket,
-            Reply::Refused(Refusal::with(Code::BackendFailed, detail)),
+            Reply::Refused(Refusal::with_detail(Code::BackendFailed, detail)),
         );
     }
 
--- a/lib/src/candidate.rs
+++ b/lib/src/candidate.rs
@@ -130,7 +130,7 @@
     /// Returns the conditions that a request would meet at this server.
     pub(crate) fn work(&self, now: Time, others: OtherLoad, parts: &[Part]) -> RequestConditions {
         RequestConditions {
-            cold: self.cached.uncached_tokens(parts),
+            uncached: self.cached.uncached_tokens(parts),
             others: f64::from(self.own) + self.others(now, others),
             slots: f64::from(self.server.slots),
         }
@@ -159,26 +159,26 @@
         now: Time,
         key: ServerKey,
         stats: &ServiceStats<'_>,
-        wish: &Criteria<'_>,
+        criteria: &Criteria<'_>,
         pace: f64,
     ) -> f64 {
         let times = stats.times;
-        let work = self.work(now, stats.others, wish.parts);
-        let mut cost = if wish.parts.is_empty() {
+        let work = self.work(now, stats.others, criteria.parts);
+        let mut cost = if criteria.parts.is_empty() {
             times.plain_cost(&work)
         } else {
             times.stream_cost(&work)
-                + PREFILL_INTERFERENCE * work.others * times.prefill_ms(work.cold)
+                + PREFILL_INTERFERENCE * work.others * times.prefill_ms(work.uncached)
         };
         cost *= pace;
-        if &*self.server.centre != wish.centre {
+        if &*self.server.centre != criteria.centre {
             cost += FAR_MS;
         }
-        let connected = wish.connected;
+        let connected = criteria.idle_connections;
         if connected.is_some_and(|connected| !connected.has(key)) {
             cost += CONNECT_MS;
         }
-        if wish
+        if criteria
             .object
             .is_some_and(|object| self.cached.contains(digest(object)))
         {
@@ -215,16 +215,16 @@
         &mut self,
         now: Time,
         others: OtherLoad,
-        wish: &Criteria<'_>,
+        criteria: &Criteria<'_>,
     ) -> RequestConditions {
-        let work = self.work(now, others, wish.parts);
+        let work = self.work(now, others, criteria.parts);
         self.history.record(now, self.own);
         self.own += 1;
         self.health.record_sent(now);
-        for part in wish.parts {
+        for part in criteria.parts {
             self.cached.add(now, *part);
         }
-        if let Some(object) = wish.object {
+        if let Some(object) = criteria.object {
             let id = digest(object);
             self.cached.add(now, Part { id, tokens: 0 });
         }
--- a/lib/src/concurrency_limit.rs
+++ b/lib/src/concurrency_limit.rs
@@ -172,7 +172,7 @@
     }
 
     /// Lifts the limit if it leaves room and the last refusal is long ago.
-    pub fn relax(&mut self, now: Time) {
+    pub fn lift_if_idle(&mut self, now: Time) {
         let over = |limit: &Limit| now.since(limit.refused_at) > LIMIT_RETENTION;
         if self.has_room(0) && self.limit.as_ref().is_some_and(over) {
             self.limit = None;
--- a/lib/src/criteria.rs
+++ b/lib/src/criteria.rs
@@ -25,7 +25,7 @@
     /// Servers that were tried and must not be tried again.
     pub tried: &'a [ServerKey],
     /// The gateway's idle connections, if it keeps any.
-    pub connected: Option<&'a dyn IdleConnections>,
+    pub idle_connections: Option<&'a dyn IdleConnections>,
     /// The gateway's data centre.
     pub centre: &'a str,
     /// A random number from 0 up to 1 that breaks ties.
--- a/lib/src/dispatch_queue.rs
+++ b/lib/src/dispatch_queue.rs
@@ -53,9 +53,9 @@
     /// The request's rank; 0 is the most urgent.
     pub rank: u8,
     /// When the request arrived.
-    pub since: Time,
+    pub arrived_at: Time,
     /// Latest time to send the request so that it is answered in time.
-    pub until: Time,
+    pub send_by: Time,
     /// Typical work of the request.
     pub work: Duration,
     /// Size of the request's body, in bytes.
@@ -69,27 +69,29 @@
     #[error("servers are full, and the queue takes longer than there is time; come back")]
     Slow {
         /// After which time the caller should retry.
-        after: Duration,
+        retry_after: Duration,
     },
     /// No server had room while there was enough time left for the work.
     #[error("servers were full until the time left was too short for the work; come back")]
     Late {
         /// After which time the caller should retry.
-        after: Duration,
+        retry_after: Duration,
     },
     /// The queue is full.
     #[error("servers are full, and too many requests wait for them; come back")]
     Full {
         /// After which time the caller should retry.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
 impl QueueRefusal {
     /// Returns after which time the caller should retry.
-    pub fn after(self) -> Duration {
+    pub fn retry_after(self) -> Duration {
         match self {
-            Self::Slow { after } | Self::Late { after } | Self::Full { after } => after,
+            Self::Slow { retry_after }
+            | Self::Late { retry_after }
+            | Self::Full { retry_after } => retry_after,
         }
     }
 }
@@ -148,11 +150,11 @@
         if let Some(queue) = self.queues.get_mut(name) {
             queue.positions.insert(position);
         }
-        self.ages.insert((waiting.since, position.2));
+        self.ages.insert((waiting.arrived_at, position.2));
     }
 
     fn remove(&mut self, waiting: &QueuedRequest, position: &Position) {
-        self.ages.remove(&(waiting.since, position.2));
+        self.ages.remove(&(waiting.arrived_at, position.2));
         let name = &waiting.workspace;
         let Some(queue) = self.queues.get_mut(name) else {
             return;
@@ -197,7 +199,7 @@
         let own = self.queues.get(&waiting.workspace).map_or(0, |queue| {
             let positions = queue.positions.iter();
             positions
-                .take_while(|position| position.0 <= waiting.until)
+                .take_while(|position| position.0 <= waiting.send_by)
                 .count()
         });
         let others = self.queues.iter();
@@ -271,14 +273,14 @@
         owner: T,
     ) -> Result<Pushed<T>, QueueRefusal> {
         let expected = self.expected_wait(&waiting, rate);
-        let spare = waiting.until.since(now);
+        let spare = waiting.send_by.since(now);
         if spare.is_zero() || expected.is_some_and(|wait| wait > spare) {
             let after = expected.unwrap_or_default().saturating_sub(spare);
             let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
-            return Err(QueueRefusal::Slow { after });
+            return Err(QueueRefusal::Slow { retry_after: after });
         }
         let full = QueueRefusal::Full {
-            after: self.come_back(rate),
+            retry_after: self.retry_after(rate),
         };
         if waiting.bytes > self.bounds.bytes {
             return Err(full);
@@ -302,7 +304,7 @@
     }
 
     /// Returns after which time callers should retry that find the queue full.
-    pub fn come_back(&self, rate: Option<f64>) -> Duration {
+    pub fn retry_after(&self, rate: Option<f64>) -> Duration {
         let drained = rate.map(|rate| duration_from_secs(self.len() as f64 / rate));
         drained
             .unwrap_or_default()
@@ -336,7 +338,7 @@
         self.arrivals += 1;
         let order = self.arrivals;
         let key = self.entries.insert_with_key(|key| Entry {
-            position: (waiting.until, order, key),
+            position: (waiting.send_by, order, key),
             waiting,
             owner,
         });
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -119,7 +119,7 @@
     members: Members,
     map: ShardMap,
     documents: Documents,
-    front: Callers,
+    callers: Callers,
     owner: Owner,
     planner: Planner,
     /// Whether each block has been read; only then may it be swapped.
@@ -151,7 +151,7 @@
     pub fn new(node: NodeId, centre: DataCentre, boot: Boot, rules: Rules, seed: u64) -> Self {
         let map = ShardMap::new(rules.shards);
         Self {
-            front: Callers::new(node.clone(), boot),
+            callers: Callers::new(node.clone(), boot),
             owner: Owner::new(node.clone(), SmallRng::seed_from_u64(seed)),
             planner: Planner {
                 node: node.clone(),
@@ -186,8 +186,8 @@
     }
 
     /// Returns the waiting callers.
-    pub fn front(&self) -> &Callers {
-        &self.front
+    pub fn callers(&self) -> &Callers {
+        &self.callers
     }
 
     /// Returns the state of the shards that it owns.
@@ -196,14 +196,14 @@
     }
 
     /// Returns the number of shards that it owns.
-    pub fn shards_held(&self) -> usize {
+    pub fn shards_owned(&self) -> usize {
         self.owner.shards.len()
     }
 
     /// Returns whether the process may exit: no caller waits and no call is
     /// open.
     pub fn is_idle(&self) -> bool {
-        self.front.is_empty() && self.owner.calls_open() == 0
+        self.callers.is_empty() && self.owner.open_call_count() == 0
     }
 
     /// Handles an event and appends the resulting effects to `out`.
@@ -239,11 +239,11 @@
                 offset,
             } => {
                 let mut cx = context!(self, now, out);
-                self.front.on_request(&mut cx, caller, request, offset);
+                self.callers.on_request(&mut cx, caller, request, offset);
             }
             Event::CallerGone(caller) => {
                 let mut cx = context!(self, now, out);
-                self.front.on_disconnect(&mut cx, caller);
+                self.callers.on_disconnect(&mut cx, caller);
             }
             Event::Message { from, message } => self.message(now, &from, message, out),
             Event::LinkUp { node, boot } => {
@@ -255,12 +255,12 @@
             Event::LinkDown { node } => {
                 self.members.link_down(now, &node);
                 let mut cx = context!(self, now, out);
-                self.front.link_down(&mut cx, &node);
+                self.callers.link_down(&mut cx, &node);
                 self.owner.link_down(&mut cx, &node);
             }
             Event::Registry(nodes) => self.registry(now, &nodes),
             Event::VmList(list) => self.vm_list(&list),
-            Event::DrainList(drains) => self.members.drained(&drains),
+            Event::DrainList(drains) => self.members.set_drained(&drains),
             Event::Block {
                 block,
                 revision,
@@ -313,7 +313,7 @@
             .map(|(vm, state)| (vm.as_str(), *state))
             .collect();
         self.members
-            .listed(|vm| states.get(vm).copied().unwrap_or(VmState::Absent));
+            .apply_vm_list(|vm| states.get(vm).copied().unwrap_or(VmState::Absent));
     }
 
     fn document(&mut self, text: &str, out: &mut Vec<Effect>) {
@@ -424,7 +424,7 @@
     ) {
         let mut cx = context!(self, now, out);
         let cx = &mut cx;
-        let (front, owner) = (&mut self.front, &mut self.owner);
+        let (callers, owner) = (&mut self.callers, &mut self.owner);
         match message {
             Message::Submit {
                 ticket,
@@ -437,16 +437,16 @@
                 attempt,
                 offset,
                 bytes,
-            } => front.chunk(cx, from, ticket, attempt, offset, &bytes),
-            Message::Reply { ticket, reply } => front.reply(cx, from, ticket, reply),
+            } => callers.chunk(cx, from, ticket, attempt, offset, &bytes),
+            Message::Reply { ticket, reply } => callers.reply(cx, from, ticket, reply),
             Message::Copy { shard, epoch, copy } => owner.copy(from, shard, epoch, *copy),
             Message::Copied { shard, epoch, seq } => owner.copied(cx, from, shard, epoch, seq),
-            Message::Kept { shard, epoch, seq } => owner.kept(cx, from, shard, epoch, seq),
+            Message::Kept { shard, epoch, seq } => owner.handle_ack(cx, from, shard, epoch, seq),
             Message::KeepRefused {
                 shard,
                 epoch,
                 fault,
-            } => owner.keep_refused(cx, from, shard, epoch, fault),
+            } => owner.handle_rejection(cx, from, shard, epoch, fault),
             Message::OrderRefused {
                 call,
                 attempt,
@@ -481,7 +481,7 @@
         out: &mut Vec<Effect>,
     ) {
         self.members
-            .heard(now, from, heartbeat.load, heartbeat.leaving);
+            .apply_report(now, from, heartbeat.load, heartbeat.leaving);
         for text in self.documents.newer_than(&heartbeat.versions) {
             out.push(Effect::Send {
                 to: from.clone(),
@@ -541,7 +541,7 @@
             }
         }
         let mut cx = context!(self, now, out);
-        self.front.tick(&mut cx);
+        self.callers.tick(&mut cx);
         self.owner.tick(&mut cx);
         for block in 0..self.map.blocks() {
             self.plan(now, block, out);
--- a/lib/src/events.rs
+++ b/lib/src/events.rs
@@ -46,12 +46,12 @@
     }
 
     /// Returns whether part of an event was received.
-    pub fn is_midway(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         self.buffer.has_remaining()
     }
 
     /// Returns whether the incomplete event exceeds the maximum size.
-    pub fn is_overlong(&self) -> bool {
+    pub fn exceeds_max_size(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 }
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -50,13 +50,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Room {
     /// Requests of all gateways that the servers can run and queue.
-    pub places: u32,
+    pub capacity: u32,
     /// Requests that this process may still send to servers that have not
     /// refused one recently.
     pub spare: u32,
     /// When the first of the servers that refused a request may accept one
     /// again.
-    pub opens: Option<Time>,
+    pub available_at: Option<Time>,
 }
 
 /// Maximum share of this process's requests at one server, as a multiple of an
@@ -144,7 +144,7 @@
     }
 
     /// Removes a server whose entry was deleted.
-    pub fn drop_server(&mut self, id: &str) {
+    pub fn remove_server(&mut self, id: &str) {
         if let Some(&key) = self.ids.get(id) {
             self.remove(key);
         }
@@ -152,7 +152,7 @@
 
     /// Keeps a server until `until` although its entry is missing after a store
     /// outage.
-    pub fn lapse(&mut self, id: &str, until: Time) {
+    pub fn keep_until(&mut self, id: &str, until: Time) {
         if let Some(&key) = self.ids.get(id)
             && let Some(member) = self.members.get_mut(key)
         {
@@ -200,7 +200,7 @@
     }
 
     /// Returns whether the server is known and accepts new requests.
-    pub fn takes(&self, key: ServerKey) -> bool {
+    pub fn is_ready(&self, key: ServerKey) -> bool {
         let server = self.server(key);
         server.is_some_and(|server| server.state == ServerState::Ready)
     }
@@ -217,7 +217,7 @@
     /// Returns the number of a service's servers that accept requests.
     pub fn ready(&self, service: &str) -> usize {
         let keys = self.services.get(service).into_iter().flatten();
-        keys.filter(|&&key| self.takes(key)).count()
+        keys.filter(|&&key| self.is_ready(key)).count()
     }
 
     /// Returns the capacity of a service's servers for a process that may have
@@ -227,25 +227,25 @@
         let unknown = ServiceTime::default();
         let times = self.times.get(service).unwrap_or(&unknown);
         let eject = self.may_eject(now, keys, times);
-        let ready = keys.iter().filter(|&&key| self.takes(key));
+        let ready = keys.iter().filter(|&&key| self.is_ready(key));
         let ready: Vec<&Candidate> = ready.map(|&key| &self.members[key]).collect();
         let chosen = ready.iter();
         let chosen = chosen.filter(|member| !eject || !member.is_ejected(now, times));
         let chosen: Vec<&&Candidate> = chosen.collect();
         let most = limit.map(|limit| limit * MAX_SERVER_SHARE / chosen.len() as f64);
         let most = most.map_or(u32::MAX, |most| most.ceil().max(1.0) as u32);
-        let opens = chosen.iter().map(|member| member.available_at(now));
+        let available_at = chosen.iter().map(|member| member.available_at(now));
         let open = chosen
             .iter()
             .filter(|member| member.available_at(now) <= now);
         let spares = open.map(|member| most.saturating_sub(member.own()));
         (!ready.is_empty()).then(|| Room {
-            places: ready
+            capacity: ready
                 .iter()
                 .map(|one| one.server.slots + QUEUE_PER_SERVER)
                 .sum(),
             spare: spares.fold(0, u32::saturating_add),
-            opens: opens.filter(|&opens| opens > now).min(),
+            available_at: available_at.filter(|&at| at > now).min(),
         })
     }
 
@@ -255,12 +255,12 @@
         let Some(member) = self.members.get(key) else {
             return true;
         };
-        member.is_silent(now, self.usual(&member.server.service))
+        member.is_silent(now, self.mean_answer(&member.server.service))
     }
 
     /// Returns the mean time that a service takes to answer; zero if it is not
     /// known yet.
-    pub fn usual(&self, service: &str) -> Duration {
+    pub fn mean_answer(&self, service: &str) -> Duration {
         let times = self.times.get(service);
         times.map_or(Duration::ZERO, ServiceTime::answer)
     }
@@ -269,7 +269,7 @@
     /// queue, the requests it runs and the prompt tokens that it would have to
     /// prefill. Servers that have just failed are chosen only if there are no
     /// others.
-    pub fn pick(&self, now: Time, service: &str, wish: &Criteria<'_>) -> Option<ServerKey> {
+    pub fn pick(&self, now: Time, service: &str, criteria: &Criteria<'_>) -> Option<ServerKey> {
         let keys = self.services.get(service)?;
         let unknown = ServiceTime::default();
         let times = self.times.get(service).unwrap_or(&unknown);
@@ -280,10 +280,10 @@
         };
         let eject = self.may_eject(now, keys, times);
         let mut best: Option<(bool, f64, ServerKey)> = None;
-        let start = (wish.draw * keys.len() as f64) as usize;
+        let start = (criteria.draw * keys.len() as f64) as usize;
         for at in 0..keys.len() {
             let key = keys[(start + at) % keys.len()];
-            if wish.tried.contains(&key) || !self.takes(key) {
+            if criteria.tried.contains(&key) || !self.is_ready(key) {
                 continue;
             }
             let member = &self.members[key];
@@ -291,7 +291,7 @@
             let pace = pace_context.map_or(1.0, |context| {
                 member.pace(now, &context) * member.pace.reported_factor(now)
             });
-            let cost = member.cost(now, key, &stats, wish, pace);
+            let cost = member.cost(now, key, &stats, criteria, pace);
             if best.is_none_or(|(p, c, _)| (paused, cost) < (p, c)) {
                 best = Some((paused, cost, key));
             }
@@ -305,14 +305,19 @@
         if !self.switches.outliers {
             return false;
         }
-        let ready = || keys.iter().filter(|&&key| self.takes(key));
+        let ready = || keys.iter().filter(|&&key| self.is_ready(key));
         let out = ready().filter(|&&key| self.members[key].is_ejected(now, times));
         out.count() as f64 <= ready().count() as f64 * MAX_EJECTED_SHARE
     }
 
     /// Records that a request of this process is sent to a server, and returns
     /// the conditions it meets there.
-    pub fn begin(&mut self, now: Time, key: ServerKey, wish: &Criteria<'_>) -> RequestConditions {
+    pub fn begin(
+        &mut self,
+        now: Time,
+        key: ServerKey,
+        criteria: &Criteria<'_>,
+    ) -> RequestConditions {
         let reported_at = self.peer_report_at;
         let Some(member) = self.members.get_mut(key) else {
             return RequestConditions::default();
@@ -321,7 +326,7 @@
         let mean = times.map_or(0.0, ServiceTime::load);
         if self.switches.samples {
             let start = member.server.start().0;
-            let new = member.uncached(wish.parts).map(|&part| NewPart {
+            let new = member.uncached(criteria.parts).map(|&part| NewPart {
                 at: now,
                 place: Place { start, part },
             });
@@ -329,7 +334,7 @@
             let excess = self.new_parts.len().saturating_sub(MAX_NEW_PARTS);
             self.new_parts.drain(..excess);
         }
-        member.begin(now, OtherLoad { mean, reported_at }, wish)
+        member.begin(now, OtherLoad { mean, reported_at }, criteria)
     }
 
     fn other_load(&self, times: &ServiceTime) -> OtherLoad {
@@ -342,7 +347,7 @@
     /// Returns how long a service's servers may fail to respond before they
     /// count as outliers.
     pub fn silence(&self, service: &str) -> Duration {
-        outlier::silence(self.usual(service))
+        outlier::silence(self.mean_answer(service))
     }
 
     /// Returns by how much a service's streams take longer at the given
@@ -351,7 +356,7 @@
     pub fn slowdown(&self, service: &str, utilization: f64) -> Option<Duration> {
         let times = self.times.get(service)?;
         let keys = self.services.get(service).into_iter().flatten();
-        let ready = keys.filter(|&&key| self.takes(key));
+        let ready = keys.filter(|&&key| self.is_ready(key));
         let slots = ready.map(|&key| f64::from(self.members[key].server.slots));
         let (count, all) = slots.fold((0.0, 0.0), |(count, all), own| (count + 1.0, all + own));
         let mean = all / f64::max(count, 1.0);
@@ -418,7 +423,7 @@
     }
 
     /// Returns the learned estimates of each service.
-    pub fn learned(&self) -> impl Iterator<Item = (&Arc<str>, &ServiceTime)> {
+    pub fn service_times(&self) -> impl Iterator<Item = (&Arc<str>, &ServiceTime)> {
         self.times.iter()
     }
 
@@ -431,7 +436,7 @@
 
     /// Applies reports of other processes about cached prompt parts. Places that
     /// refer to an earlier start of a server are ignored.
-    pub fn take_places(&mut self, now: Time, places: &[Place]) {
+    pub fn apply_places(&mut self, now: Time, places: &[Place]) {
         if !self.switches.places {
             return;
         }
--- a/lib/src/fleet/paces.rs
+++ b/lib/src/fleet/paces.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records that a wait ended without an answer.
-    pub fn give_up(&mut self, now: Time, key: ServerKey, wait: WaitKey) {
+    pub fn abandon_wait(&mut self, now: Time, key: ServerKey, wait: WaitKey) {
         let Some(member) = self.members.get_mut(key) else {
             return;
         };
--- a/lib/src/fleet/reports.rs
+++ b/lib/src/fleet/reports.rs
@@ -23,9 +23,9 @@
     }
 
     /// Applies reports of other processes about cached prompt parts.
-    pub fn hear_places(&mut self, now: Time, places: &[Place]) {
+    pub fn apply_peer_places(&mut self, now: Time, places: &[Place]) {
         if self.switches.samples {
-            self.take_places(now, places);
+            self.apply_places(now, places);
         }
     }
 
@@ -37,7 +37,7 @@
         }
         let members = self.members.values();
         let samples = members.filter_map(|member| {
-            let mean_answer = self.usual(&member.server.service);
+            let mean_answer = self.mean_answer(&member.server.service);
             member.sample(since, now, mean_answer)
         });
         samples.collect()
@@ -45,7 +45,7 @@
 
     /// Applies server loads that other processes received, if they are newer
     /// than what is known.
-    pub fn hear_loads(&mut self, now: Time, samples: &[ServerSample]) {
+    pub fn apply_peer_loads(&mut self, now: Time, samples: &[ServerSample]) {
         if !self.switches.samples {
             return;
         }
@@ -91,7 +91,7 @@
 }
 
 impl ServiceOfServer for Fleet {
-    fn service(&self, start: ServerStart) -> Option<&Arc<str>> {
+    fn service_of(&self, start: ServerStart) -> Option<&Arc<str>> {
         let &key = self.starts.get(&start)?;
         Some(&self.server(key)?.service)
     }
--- a/lib/src/handoff.rs
+++ b/lib/src/handoff.rs
@@ -98,8 +98,8 @@
 
     /// Returns whether handing the request over may save time, so that it is
     /// worth comparing other gateways.
-    pub fn may_gain(&self, own: OwnLoad, offer: RequestSize) -> bool {
-        !offer.handed && self.local_time(own, offer) > MIN_GAIN
+    pub fn is_worthwhile(&self, own: OwnLoad, offer: RequestSize) -> bool {
+        !offer.handed_over && self.local_time(own, offer) > MIN_GAIN
     }
 
     /// Returns the gateway to hand a request over to; `None` if this one serves
@@ -112,7 +112,7 @@
         gateways: &'a [GatewayState],
         draws: [f64; 2],
     ) -> Option<&'a GatewayState> {
-        if !self.may_gain(own, offer) {
+        if !self.is_worthwhile(own, offer) {
             return None;
         }
         self.update_targets(now, gateways);
@@ -137,7 +137,7 @@
     }
 
     /// Records a measured round trip to a target.
-    pub fn observe_way(&mut self, node: &str, took: Duration) {
+    pub fn observe_round_trip(&mut self, node: &str, took: Duration) {
         if let Some(target) = self.targets.get_mut(node) {
             target.observe_round_trip(took);
         }
@@ -207,7 +207,7 @@
         let mut list: Vec<&GatewayState> = gateways.iter().filter(is_target).collect();
         if list.len() > MAX_TARGETS {
             let weight = |state: &&GatewayState| {
-                Reverse(hash::spread(
+                Reverse(hash::mixed_fnv(
                     self.own.node.bytes().chain(state.node.bytes()),
                 ))
             };
--- a/lib/src/hash.rs
+++ b/lib/src/hash.rs
@@ -10,7 +10,7 @@
 
 /// FNV-1a with a finalizer, because FNV mixes the last bytes of its input
 /// poorly.
-pub fn spread(bytes: impl IntoIterator<Item = u8>) -> u64 {
+pub fn mixed_fnv(bytes: impl IntoIterator<Item = u8>) -> u64 {
     let hash = fnv(bytes);
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     mixed ^ (mixed >> 32)
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -92,7 +92,7 @@
     }
 
     /// Derives the program id of a call without a program from the call's id.
-    pub fn of_single(call: CallId) -> Self {
+    pub fn for_single_call(call: CallId) -> Self {
         Self {
             root: call.0 as u64,
             leaf: 0,
@@ -100,7 +100,7 @@
     }
 
     /// Returns whether this is the id of a call without a program.
-    pub fn is_single(self) -> bool {
+    pub fn is_single_call(self) -> bool {
         self.leaf == 0
     }
 }
--- a/lib/src/idle_limit.rs
+++ b/lib/src/idle_limit.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the longest time that a connection may have been idle.
-    pub fn longest(&self, now: Time) -> Duration {
+    pub fn max_idle(&self, now: Time) -> Duration {
         match self.recent_close(now) {
             Some(early_close) => (early_close.idle / 2).clamp(MIN_IDLE, MAX_IDLE),
             None => MAX_IDLE,
--- a/lib/src/ledger.rs
+++ b/lib/src/ledger.rs
@@ -195,7 +195,7 @@
 
     /// Returns the tokens that each turn of a program charges to its budget,
     /// except those of the turn `excluded`.
-    pub fn shares(&self, program: &str, excluded: &str) -> Vec<TurnUsage> {
+    pub fn usage(&self, program: &str, excluded: &str) -> Vec<TurnUsage> {
         let Some(program) = self.programs.get(program) else {
             return Vec::new();
         };
@@ -242,20 +242,20 @@
     }
 
     /// Returns whether the start of a turn is stored.
-    pub fn has_begun(&self, turn: &str) -> bool {
+    pub fn has_start(&self, turn: &str) -> bool {
         let turn = self.turns.get(turn);
         turn.is_some_and(|turn| turn.begin.is_some())
     }
 
     /// Returns whether a turn is stored and complete.
-    pub fn has(&self, turn: &str) -> bool {
+    pub fn has_complete(&self, turn: &str) -> bool {
         let turn = self.turns.get(turn);
         turn.is_some_and(|turn| turn.link().is_some())
     }
 
     /// Restarts the retention period of the program of a turn, because another
     /// program continues from that turn.
-    pub fn touch(&mut self, now: Time, turn: &str) {
+    pub fn renew_retention(&mut self, now: Time, turn: &str) {
         let Some(turn) = self.turns.get(turn) else {
             return;
         };
@@ -317,7 +317,7 @@
             let begun = u64::from(turn.begin.is_some());
             let ended = u64::from(turn.finish.is_some());
             let state = begun + 2 * ended;
-            hash::spread(id.bytes()).wrapping_mul(2 * state + 1)
+            hash::mixed_fnv(id.bytes()).wrapping_mul(2 * state + 1)
         });
         each.fold(0, u64::wrapping_add)
     }
--- a/lib/src/load_estimator.rs
+++ b/lib/src/load_estimator.rs
@@ -139,7 +139,7 @@
     }
 
     /// Applies a keeper's answer to the report that was sent at `requested_at`.
-    pub fn hear(&mut self, keeper: &Arc<str>, requested_at: Time, summary: LoadSummary) {
+    pub fn apply_summary(&mut self, keeper: &Arc<str>, requested_at: Time, summary: LoadSummary) {
         let known = self.answers.get(keeper);
         if known.is_none_or(|known| known.requested_at <= requested_at) {
             self.answers
--- a/lib/src/load_map.rs
+++ b/lib/src/load_map.rs
@@ -54,7 +54,7 @@
 /// Maps servers to services.
 pub trait ServiceOfServer {
     /// Returns the service of a server; `None` if the server is not known.
-    fn service(&self, start: ServerStart) -> Option<&Arc<str>>;
+    fn service_of(&self, start: ServerStart) -> Option<&Arc<str>>;
 }
 
 /// A gateway's use of one service, by its latest report.
@@ -158,7 +158,7 @@
 impl LoadMap {
     /// Applies a gateway's report, and returns what other gateways reported since
     /// its previous one.
-    pub fn take(
+    pub fn apply_report(
         &mut self,
         now: Time,
         sender: &ProcessStart,
@@ -233,7 +233,7 @@
     ) {
         let age = Duration::from_millis(u64::from(sample.age_ms));
         let Some(service) = servers
-            .service(sample.start)
+            .service_of(sample.start)
             .filter(|_| age < MAX_SAMPLE_AGE)
         else {
             return;
--- a/lib/src/load_shed.rs
+++ b/lib/src/load_shed.rs
@@ -43,7 +43,7 @@
 
 impl LoadShedder {
     /// Adds a sample of the lateness of a timer.
-    pub fn observe(&mut self, late: Duration) {
+    pub fn observe_timer(&mut self, late: Duration) {
         self.late += (late.as_secs_f64() - self.late) * EWMA_WEIGHT;
         self.answers *= ANSWER_DECAY;
     }
@@ -55,7 +55,7 @@
 
     /// Updates whether the gateway is behind its work, and returns the new state if
     /// it has changed since the last call.
-    pub fn change(&mut self) -> Option<bool> {
+    pub fn update_behind(&mut self) -> Option<bool> {
         let late = self.lateness();
         let behind = if self.behind {
             late > SHED_FROM / 2
@@ -68,18 +68,18 @@
     }
 
     /// Returns the average lateness of timers.
-    pub fn timers(&self) -> Duration {
+    pub fn timer_lateness(&self) -> Duration {
         Duration::from_secs_f64(self.late.max(0.0))
     }
 
     /// Returns the average response time of the keepers.
-    pub fn answers(&self) -> Duration {
+    pub fn answer_time(&self) -> Duration {
         Duration::from_secs_f64(self.answers.max(0.0))
     }
 
     /// Returns the larger of the timers' lateness and the keepers' response time.
     pub fn lateness(&self) -> Duration {
-        self.timers().max(self.answers())
+        self.timer_lateness().max(self.answer_time())
     }
 
     /// Admits a turn, or returns after which time its caller should retry. `draw` is
--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -119,7 +119,7 @@
     }
 
     /// Returns the time since the link was lost; zero while there is one.
-    pub fn silence(&self, now: Time) -> Duration {
+    pub fn time_without_link(&self, now: Time) -> Duration {
         match self.link {
             Link::Up { .. } => Duration::ZERO,
             Link::Down { since } => now.since(since),
@@ -220,21 +220,21 @@
     }
 
     /// Applies the VM list; `state` returns the state of a VM by its name.
-    pub fn listed(&mut self, state: impl Fn(&str) -> VmState) {
+    pub fn apply_vm_list(&mut self, state: impl Fn(&str) -> VmState) {
         for member in self.known.values_mut() {
             member.listed = state(&member.node.vm);
         }
     }
 
     /// Applies the names of processes that operators drain.
-    pub fn drained(&mut self, names: &[NodeId]) {
+    pub fn set_drained(&mut self, names: &[NodeId]) {
         for (id, member) in &mut self.known {
             member.drained = names.contains(id);
         }
     }
 
     /// Applies a report of the process `id` on its load and whether it leaves.
-    pub fn heard(&mut self, now: Time, id: &NodeId, load: Load, leaving: bool) {
+    pub fn apply_report(&mut self, now: Time, id: &NodeId, load: Load, leaving: bool) {
         if let Some(member) = self.known.get_mut(id) {
             member.load = load;
             member.reported_at = now;
@@ -299,9 +299,9 @@
     }
 
     /// Returns whether `id` has had no link for at least `wait`, or is unknown.
-    pub fn is_silent(&self, now: Time, id: &NodeId, wait: Duration) -> bool {
+    pub fn has_no_link_for(&self, now: Time, id: &NodeId, wait: Duration) -> bool {
         match self.known.get(id) {
-            Some(member) => member.boot().is_none() && member.silence(now) >= wait,
+            Some(member) => member.boot().is_none() && member.time_without_link(now) >= wait,
             None => true,
         }
     }
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -112,7 +112,7 @@
     /// has to store, such that it still receives every committed turn. A keeper
     /// that lost its data (`lost_data`) needs one more source: its own
     /// acknowledgement may have been part of a turn's majority.
-    pub fn may_miss(&self, node: &str, lost_data: bool, faults: usize) -> usize {
+    pub fn max_missing(&self, node: &str, lost_data: bool, faults: usize) -> usize {
         let before = self.keepers.iter();
         let before = before.filter(|keeper| keeper.standing != MemberState::Joining);
         let set = before.count().min(2 * faults + 1);
@@ -125,8 +125,8 @@
     /// probably isolated itself, because they are more than may fail at once. Its
     /// data from the platform's store is then not to be relied on: its watch may
     /// have been interrupted for as long.
-    pub fn is_cut_off(&self, unreachable: &[Arc<str>], faults: usize) -> bool {
-        let lost = self.staying();
+    pub fn is_isolated(&self, unreachable: &[Arc<str>], faults: usize) -> bool {
+        let lost = self.remaining();
         let lost = lost.filter(|keeper| unreachable.contains(&keeper.node));
         lost.count() > faults
     }
@@ -135,16 +135,16 @@
     /// enough remain without it. `unreachable` are all keepers that cannot be
     /// reached now: if they are more than `faults`, the caller is probably
     /// isolated itself and leaves the decision to the others.
-    pub fn replaceable(
+    pub fn keeper_to_replace(
         &self,
         timed_out: &[Arc<str>],
         unreachable: &[Arc<str>],
         faults: usize,
     ) -> Option<&Keeper> {
-        if self.staying().count() <= 2 * faults + 1 || self.is_cut_off(unreachable, faults) {
+        if self.remaining().count() <= 2 * faults + 1 || self.is_isolated(unreachable, faults) {
             return None;
         }
-        self.staying()
+        self.remaining()
             .find(|keeper| timed_out.contains(&keeper.node))
     }
 
@@ -157,7 +157,7 @@
     /// Without this rule, after one of three keepers had been emptied and
     /// removed, the loss of one of the remaining two stopped all turns until it
     /// was back.
-    pub fn without_lost(&self, unreachable: &[Arc<str>], faults: usize) -> Option<Self> {
+    pub fn without_unreachable(&self, unreachable: &[Arc<str>], faults: usize) -> Option<Self> {
         let lost = |keeper: &Keeper| unreachable.contains(&keeper.node);
         let lost_count = self.keepers.iter().filter(|keeper| lost(keeper)).count();
         let total = self.keepers.len();
@@ -169,7 +169,7 @@
         {
             return None;
         }
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         next.moved = next.epoch;
         next.keepers.retain(|keeper| !lost(keeper));
         Some(next)
@@ -179,7 +179,7 @@
     /// stored it that the others are too few for a majority of its replicas.
     /// Answers of joining keepers are not counted: they may have an earlier state
     /// and have not copied yet.
-    pub fn denies(&self, never: &HashSet<Arc<str>>, faults: usize) -> bool {
+    pub fn rules_out(&self, never: &HashSet<Arc<str>>, faults: usize) -> bool {
         let members = || {
             let keepers = self.keepers.iter();
             keepers.filter(|keeper| keeper.standing != MemberState::Joining)
@@ -196,28 +196,28 @@
     /// of the store costs one call for each watch, so the number of watches must
     /// not grow with that of the keepers.
     pub fn watchers(&self, faults: usize) -> Vec<&Keeper> {
-        let mut watchers = self.in_charge(STORE_WATCH_NAME);
+        let mut watchers = self.ranked_for(STORE_WATCH_NAME);
         watchers.truncate(2 * faults + 1);
         watchers
     }
 
     /// Returns the keepers that are not leaving, ranked for a name such as that of
     /// a workspace: first the one responsible for it, then its standbys.
-    pub fn in_charge(&self, name: &str) -> Vec<&Keeper> {
-        let mut staying: Vec<&Keeper> = self.staying().collect();
-        staying.sort_by_cached_key(|keeper| std::cmp::Reverse(weight(&keeper.node, name)));
-        staying
+    pub fn ranked_for(&self, name: &str) -> Vec<&Keeper> {
+        let mut remaining: Vec<&Keeper> = self.remaining().collect();
+        remaining.sort_by_cached_key(|keeper| std::cmp::Reverse(weight(&keeper.node, name)));
+        remaining
     }
 
     /// Returns the keepers that are not leaving.
-    pub fn staying(&self) -> impl Iterator<Item = &Keeper> {
+    pub fn remaining(&self) -> impl Iterator<Item = &Keeper> {
         let keepers = self.keepers.iter();
         keepers.filter(|keeper| keeper.standing != MemberState::Leaving)
     }
 
     /// Returns the list with all requested changes applied; `None` if none of them
     /// changes it.
-    pub fn with(&self, requests: &[ListRequest], faults: usize) -> Option<Self> {
+    pub fn with_requests(&self, requests: &[ListRequest], faults: usize) -> Option<Self> {
         let mut next: Option<Self> = None;
         for request in requests {
             let list = next.as_ref().unwrap_or(self);
@@ -267,7 +267,7 @@
     /// joined no turn is stored, so a keeper that joins before has nothing to
     /// copy.
     pub fn join(&self, node: &str, address: SocketAddr, faults: usize) -> Option<Self> {
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         if let Some(at) = self.place(node) {
             if self.keepers[at].address == address {
                 return None;
@@ -293,7 +293,7 @@
     /// Once the keeper copies by the new epoch, requests by an older one are
     /// refused, so that its acknowledgements from before the loss do not
     /// contribute to the majority of turns that other replicas have yet to store.
-    pub fn renew(&self) -> Self {
+    pub fn with_new_epoch(&self) -> Self {
         let mut next = self.clone();
         next.epoch += 1;
         next
@@ -303,7 +303,7 @@
     /// joining; `None` if it is leaving already or not listed.
     pub fn leave(&self, node: &str) -> Option<Self> {
         let at = self.place(node)?;
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         next.moved = next.epoch;
         match self.keepers[at].standing {
             MemberState::Leaving => return None,
@@ -327,7 +327,7 @@
         if self.keepers[at].ready || !self.is_changing() {
             return None;
         }
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         next.keepers[at].ready = true;
         let mut after = next.keepers.iter();
         if after.all(|keeper| keeper.ready || keeper.standing == MemberState::Leaving) {
@@ -344,5 +344,5 @@
 /// Rendezvous hashing: the keepers with the largest weights store the program,
 /// so a change of the list moves the minimum of programs.
 fn weight(node: &str, program: &str) -> u64 {
-    hash::spread(node.bytes().chain([0]).chain(program.bytes()))
+    hash::mixed_fnv(node.bytes().chain([0]).chain(program.bytes()))
 }
--- a/lib/src/orders.rs
+++ b/lib/src/orders.rs
@@ -161,7 +161,7 @@
             return;
         }
         self.records.entry(key).or_insert_with(|| AttemptRecord {
-            program: ProgramId::of_single(call),
+            program: ProgramId::for_single_call(call),
             idempotent: false,
             model: false,
             owner: from.clone(),
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -51,7 +51,7 @@
     }
 
     /// Creates a refusal with details of this case.
-    pub fn with(code: Code, detail: impl Into<String>) -> Self {
+    pub fn with_detail(code: Code, detail: impl Into<String>) -> Self {
         Self {
             code,
             detail: detail.into(),
--- a/lib/src/overload.rs
+++ b/lib/src/overload.rs
@@ -108,7 +108,7 @@
     pub first: bool,
     /// Whether later turns always name their previous turn, so that a turn without
     /// one is certainly the first of its program.
-    pub linked: bool,
+    pub turns_linked: bool,
     /// The service that the turn needs.
     pub service: &'a Arc<str>,
     /// Rank of the turn; 0 is served first.
@@ -271,7 +271,7 @@
     /// Whether programs are refused.
     pub overloaded: bool,
     /// Share of their time that programs lose at the servers.
-    pub lost: f64,
+    pub lost_share: f64,
     /// Load; one is what the programs' time limits allow.
     pub load: f64,
     /// Share of new programs that is admitted.
@@ -310,7 +310,7 @@
         state.observe(now, strain);
         let shown = OverloadState {
             overloaded: state.overloaded,
-            lost: state.lost_share(),
+            lost_share: state.lost_share(),
             load: state.load(),
             admitted: 1.0 - state.refused_share,
         };
@@ -333,7 +333,7 @@
     ) -> Result<(), ProgramRefusal> {
         let state = self.service(now, arrival.service);
         let begins = arrival.first && !shed.has_begun(arrival.program);
-        let loaded = if begins && arrival.linked {
+        let loaded = if begins && arrival.turns_linked {
             state.count_offered(now, arrival)
         } else {
             0.0
@@ -347,14 +347,14 @@
             });
         }
         shed.note_begun(arrival.program);
-        if arrival.linked {
+        if arrival.turns_linked {
             state.count_admitted(begins, arrival.remaining);
         }
         Ok(())
     }
 
     /// Counts a turn that ended.
-    pub fn ended(&mut self, now: Time, service: &str) {
+    pub fn turn_ended(&mut self, now: Time, service: &str) {
         if let Some(state) = self.services.get_mut(service) {
             state.decay(now);
             state.ended += 1.0;
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -79,8 +79,8 @@
         });
     }
 
-    pub(crate) fn note(&mut self, note: LogEvent) {
-        self.out.push(Effect::Log(note));
+    pub(crate) fn log(&mut self, event: LogEvent) {
+        self.out.push(Effect::Log(event));
     }
 }
 
@@ -105,7 +105,7 @@
 /// complete.
 #[derive(Clone, Debug)]
 pub(crate) struct ParkedRequest {
-    pub(crate) watcher: Subscriber,
+    pub(crate) subscriber: Subscriber,
     pub(crate) request: Request,
     pub(crate) offset: u64,
 }
@@ -138,14 +138,14 @@
     pub phase: Phase,
     pub since: Time,
     /// Whether the keeper reported that it has no complete copy.
-    pub hopeless: bool,
+    pub keeper_has_no_copy: bool,
     /// Whether both copies of the shard were lost at some time, and with them
     /// the records of single calls.
     pub copies_lost: bool,
     pub(crate) seq: u64,
     /// Changes that the keeper has not acknowledged, by sequence number.
-    pub(crate) unkept: VecDeque<(u64, Change)>,
-    pub(crate) steps: VecDeque<(u64, DeferredAction)>,
+    pub(crate) unacked: VecDeque<(u64, Change)>,
+    pub(crate) deferred: VecDeque<(u64, DeferredAction)>,
     pub(crate) parked: Vec<ParkedRequest>,
     /// The part of the keeper's copy that has arrived so far.
     pub(crate) incoming: BTreeMap<ProgramId, ProgramCopy>,
@@ -153,7 +153,7 @@
     pub(crate) gap: bool,
     /// When the wait for the next acknowledgement began; `None` if all changes
     /// are acknowledged.
-    pub(crate) waiting: Option<Time>,
+    pub(crate) ack_wait_since: Option<Time>,
 }
 
 impl OwnedShard {
@@ -164,33 +164,33 @@
             chosen: assignment.chosen,
             phase,
             since: now,
-            hopeless: false,
+            keeper_has_no_copy: false,
             copies_lost: assignment.lost.0 > 0,
             seq: 0,
-            unkept: VecDeque::new(),
-            steps: VecDeque::new(),
+            unacked: VecDeque::new(),
+            deferred: VecDeque::new(),
             parked: Vec::new(),
             incoming: BTreeMap::new(),
             gap: false,
-            waiting: None,
+            ack_wait_since: None,
         }
     }
 
     /// Returns whether the keeper has acknowledged all changes.
     fn is_replicated(&self) -> bool {
         let loaded = self.phase == Phase::Loaded && self.keeper.is_some();
-        loaded && !self.gap && self.unkept.is_empty()
+        loaded && !self.gap && self.unacked.is_empty()
     }
 
     /// Returns whether the wait for an acknowledgement has exceeded its limit.
-    pub(crate) fn is_stuck(&self, cx: &Context<'_>) -> bool {
-        self.phase == Phase::Loaded && self.unkept_for(cx.now) >= cx.rules.alone_wait()
+    pub(crate) fn has_ack_timed_out(&self, cx: &Context<'_>) -> bool {
+        self.phase == Phase::Loaded && self.ack_wait(cx.now) >= cx.rules.ack_timeout()
     }
 
     /// Returns how long the wait for the next acknowledgement has lasted; zero
     /// if all changes are acknowledged.
-    pub(crate) fn unkept_for(&self, now: Time) -> Duration {
-        self.waiting
+    pub(crate) fn ack_wait(&self, now: Time) -> Duration {
+        self.ack_wait_since
             .map_or(Duration::ZERO, |since| now.since(since))
     }
 }
@@ -236,7 +236,7 @@
     pub(crate) program: ProgramId,
     pub(crate) record: CallRecord,
     pub(crate) state: State,
-    pub(crate) watchers: Vec<Subscriber>,
+    pub(crate) subscribers: Vec<Subscriber>,
     pub(crate) bytes: Vec<u8>,
     pub(crate) deadline: Time,
     /// Servers that refused the call.
@@ -295,12 +295,12 @@
     }
 
     /// Returns the number of open calls.
-    pub fn calls_open(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.calls.len()
     }
 
     /// Returns the number of programs.
-    pub fn programs_open(&self) -> usize {
+    pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
@@ -336,7 +336,7 @@
             if let Some(held) = self.shards.get(&shard)
                 && held.phase == Phase::Loaded
             {
-                self.resend_unkept(cx, shard, held);
+                self.resend_unacked(cx, shard, held);
             }
         }
         let mut to_query = Vec::new();
@@ -378,7 +378,8 @@
                 };
                 self.call_timers.insert((limit, *id));
             }
-            call.watchers.retain(|watcher| watcher.node != *node);
+            call.subscribers
+                .retain(|subscriber| subscriber.node != *node);
         }
     }
 
@@ -398,7 +399,7 @@
             self.program_timers.pop_first();
             self.on_program_timer(cx, id);
         }
-        self.go_on_alone(cx);
+        self.proceed_without_keeper(cx);
     }
 
     pub(crate) fn on_call_timer(&mut self, cx: &mut Context<'_>, id: CallId) {
@@ -408,7 +409,7 @@
         let late = call.deadline <= cx.now;
         match &call.state {
             State::AwaitingTurn if !late => {
-                let refusal = Refusal::with(Code::OutOfTurn, "an earlier call never came");
+                let refusal = Refusal::with_detail(Code::OutOfTurn, "an earlier call never came");
                 let none_running = self
                     .programs
                     .get(&call.program)
@@ -468,7 +469,7 @@
             return;
         }
         let head = &program.copy.head;
-        let ended = head.ended || id.is_single();
+        let ended = head.ended || id.is_single_call();
         let idle = cx
             .documents
             .rules(&head.operator, &head.deployment)
@@ -482,9 +483,9 @@
             self.program_timers.insert((retry_at, id));
         } else if ended {
             self.programs.remove(&id);
-            self.keep(cx, shard, Change::Forget(id));
+            self.replicate(cx, shard, Change::Forget(id));
         } else {
-            cx.note(LogEvent::new("program_abandoned").with("program", id));
+            cx.log(LogEvent::new("program_abandoned").with("program", id));
             self.end_subtree(cx, shard, id);
             self.program_timers
                 .insert((cx.now + cx.rules.retention(), id));
@@ -531,20 +532,20 @@
 /// Returns whether a call needs no record: the caller cannot send it again,
 /// and it is safe to run twice.
 pub(crate) fn is_stateless(call: &CallRequest) -> bool {
-    call.program.is_single() && call.idempotent && !call.keyed
+    call.program.is_single_call() && call.idempotent && !call.keyed
 }
 
-pub(crate) fn reply(cx: &mut Context<'_>, watcher: &Subscriber, reply: Reply) {
+pub(crate) fn reply(cx: &mut Context<'_>, subscriber: &Subscriber, reply: Reply) {
     let message = Message::Reply {
-        ticket: watcher.ticket,
+        ticket: subscriber.ticket,
         reply,
     };
-    cx.send(&watcher.node, message);
+    cx.send(&subscriber.node, message);
 }
 
 pub(crate) fn send_bytes(
     cx: &mut Context<'_>,
-    watcher: &Subscriber,
+    subscriber: &Subscriber,
     attempt: u64,
     bytes: &[u8],
     offset: u64,
@@ -553,12 +554,12 @@
         return;
     };
     let message = Message::Chunk {
-        ticket: watcher.ticket,
+        ticket: subscriber.ticket,
         attempt,
         offset,
         bytes: rest.to_vec(),
     };
-    cx.send(&watcher.node, message);
+    cx.send(&subscriber.node, message);
 }
 
 pub(crate) fn ending_reply(record: &CallRecord, outcome: &Outcome, digest: Digest) -> Reply {
@@ -610,7 +611,7 @@
         program: copy.program,
         head: Box::new(copy.head.clone()),
         above,
-        record: record.map(|record| Box::new(record.slim())),
+        record: record.map(|record| Box::new(record.without_messages())),
         turns,
         replace,
     }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -23,11 +23,11 @@
     /// Number of calls that run or wait there: the last reported number, or
     /// the number of unfinished calls that this process has sent, whichever is
     /// higher.
-    pub busy: u32,
+    pub active_calls: u32,
     /// Estimated tokens that those calls still need.
     pub backlog: u64,
     /// Estimated tokens of the call's prompt in its prefix cache.
-    pub cached: u64,
+    pub cached_tokens: u64,
     /// Time per piece of an answer of a running call, in microseconds, as
     /// measured by its side process; zero if unknown.
     pub pace: u32,
@@ -87,7 +87,8 @@
         servers: &[ServerView],
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
-        let busy = |server: &ServerView| f64::from(server.busy) / f64::from(server.slots.max(1));
+        let busy =
+            |server: &ServerView| f64::from(server.active_calls) / f64::from(server.slots.max(1));
         index_of_lowest(servers, 0..servers.len(), busy, rng)
     }
 }
@@ -132,11 +133,11 @@
     /// Returns the cost of running a call on a server; `median` is the median
     /// pace of all servers that could run it.
     fn cost(&self, call: &CallView, server: &ServerView, median: f64) -> f64 {
-        let missing = call.prompt.saturating_sub(server.cached) as f64;
+        let missing = call.prompt.saturating_sub(server.cached_tokens) as f64;
         let slots = f64::from(server.slots.max(1));
-        let free = server.busy < server.slots;
+        let free = server.active_calls < server.slots;
         let queue_delay = if free {
-            f64::from(server.busy) / slots
+            f64::from(server.active_calls) / slots
         } else {
             self.queue_weight * server.backlog as f64 / slots
         };
@@ -181,7 +182,7 @@
         if servers.len() <= MAX_FULL_SCAN {
             return index_of_lowest(servers, 0..servers.len(), cost, rng);
         }
-        let warm = (0..servers.len()).filter(|index| servers[*index].cached > 0);
+        let warm = (0..servers.len()).filter(|index| servers[*index].cached_tokens > 0);
         let drawn: Vec<usize> = (0..SAMPLE_SIZE)
             .map(|_| rng.random_range(0..servers.len()))
             .collect();
--- a/lib/src/program.rs
+++ b/lib/src/program.rs
@@ -159,7 +159,7 @@
     /// Removes the messages of an ended call, which its program's history
     /// contains as well.
     #[must_use]
-    pub fn slim(mut self) -> Self {
+    pub fn without_messages(mut self) -> Self {
         if let CallStage::Done(outcome) = &mut self.stage {
             self.turns.clear();
             if let Outcome::Answer(answer) = outcome {
@@ -229,7 +229,7 @@
     /// contains, and removes any earlier record of the call. A call that is
     /// known not to have run is only removed.
     pub fn put(&mut self, record: CallRecord) {
-        let record = record.slim();
+        let record = record.without_messages();
         self.recent.retain(|old| old.call != record.call);
         if matches!(&record.stage, CallStage::Done(outcome) if outcome.is_not_run()) {
             return;
@@ -248,7 +248,7 @@
 
     /// Appends the messages of a successful call and of its answer to the
     /// history, or replaces the history with them.
-    pub fn remember(&mut self, replace: bool, turns: impl IntoIterator<Item = Turn>) {
+    pub fn extend_history(&mut self, replace: bool, turns: impl IntoIterator<Item = Turn>) {
         if replace {
             self.history = History::default();
         }
--- a/lib/src/program_requests.rs
+++ b/lib/src/program_requests.rs
@@ -42,7 +42,7 @@
         request: Request,
         offset: u64,
     ) {
-        let watcher = Subscriber {
+        let subscriber = Subscriber {
             node: from.clone(),
             ticket,
         };
@@ -50,48 +50,48 @@
             && is_stateless(call)
         {
             let Request::Call(call) = request else { return };
-            self.accept_call(cx, None, watcher, call, offset);
+            self.accept_call(cx, None, subscriber, call, offset);
             return;
         }
         let shard = request.program().shard(cx.rules.shards);
         let Some(held) = self.shards.get_mut(&shard) else {
-            reply(cx, &watcher, Reply::Moved);
+            reply(cx, &subscriber, Reply::Moved);
             return;
         };
         if held.phase == Phase::Adopting {
             if held.parked.len() < cx.rules.parked {
                 held.parked.push(ParkedRequest {
-                    watcher,
+                    subscriber,
                     request,
                     offset,
                 });
             } else {
-                reply(cx, &watcher, Reply::Moved);
+                reply(cx, &subscriber, Reply::Moved);
             }
             return;
         }
-        self.accept(cx, shard, watcher, request, offset);
+        self.accept(cx, shard, subscriber, request, offset);
     }
 
     pub(crate) fn accept(
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         request: Request,
         offset: u64,
     ) {
         if self.is_other_tenant(&request) {
-            let refusal = Refusal::with(Code::BadKey, "the program is another deployment's");
-            self.refuse_request(cx, Some(shard), watcher, refusal);
+            let refusal = Refusal::with_detail(Code::BadKey, "the program is another deployment's");
+            self.refuse_request(cx, Some(shard), subscriber, refusal);
             return;
         }
         match request {
-            Request::Call(call) => self.accept_call(cx, Some(shard), watcher, call, offset),
-            Request::Open(open) => self.open(cx, shard, watcher, &open),
-            Request::Read(request) => self.read(cx, shard, watcher, request.program),
-            Request::End(request) => self.end(cx, shard, watcher, request.program),
-            Request::Judge(judgement) => self.judge(cx, shard, watcher, &judgement),
+            Request::Call(call) => self.accept_call(cx, Some(shard), subscriber, call, offset),
+            Request::Open(open) => self.open(cx, shard, subscriber, &open),
+            Request::Read(request) => self.read(cx, shard, subscriber, request.program),
+            Request::End(request) => self.end(cx, shard, subscriber, request.program),
+            Request::Judge(judgement) => self.judge(cx, shard, subscriber, &judgement),
         }
     }
 
@@ -113,30 +113,34 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         open: &OpenRequest,
     ) {
         if self.programs.contains_key(&open.program) {
             // The request was sent before and its reply was lost.
             let seq = self.shards.get(&shard).map_or(0, |held| held.seq);
-            self.after(
+            self.run_after_ack(
                 cx,
                 shard,
                 seq,
-                DeferredAction::Answer(watcher, open.program, Part::Head),
+                DeferredAction::Answer(subscriber, open.program, Part::Head),
             );
             return;
         }
         let stuck = self
             .shards
             .get(&shard)
-            .is_some_and(|held| held.is_stuck(cx));
+            .is_some_and(|held| held.has_ack_timed_out(cx));
         if stuck {
-            reply(cx, &watcher, Reply::Refused(Refusal::new(Code::NoKeeper)));
+            reply(
+                cx,
+                &subscriber,
+                Reply::Refused(Refusal::new(Code::NoKeeper)),
+            );
             return;
         }
         if let Err(refusal) = self.check_open(cx, open) {
-            self.refuse_request(cx, Some(shard), watcher, refusal);
+            self.refuse_request(cx, Some(shard), subscriber, refusal);
             return;
         }
         let head = ProgramHead {
@@ -152,12 +156,12 @@
         let copy = ProgramCopy::new(open.program, head);
         let change = Change::Program(Box::new(copy.clone()));
         self.insert_program(cx, copy);
-        let seq = self.keep(cx, shard, change);
-        self.after(
+        let seq = self.replicate(cx, shard, change);
+        self.run_after_ack(
             cx,
             shard,
             seq,
-            DeferredAction::Answer(watcher, open.program, Part::Head),
+            DeferredAction::Answer(subscriber, open.program, Part::Head),
         );
     }
 
@@ -170,7 +174,7 @@
             return Err(Refusal::new(Code::BadKey));
         }
         if self.programs.len() >= cx.rules.programs {
-            return Err(Refusal::with(
+            return Err(Refusal::with_detail(
                 Code::Overloaded,
                 "too many programs are open",
             ));
@@ -179,9 +183,9 @@
             return Ok(());
         };
         match self.programs.get(&parent) {
-            None => Err(Refusal::with(Code::ProgramUnknown, "the parent")),
+            None => Err(Refusal::with_detail(Code::ProgramUnknown, "the parent")),
             Some(program) if program.copy.head.ended => {
-                Err(Refusal::with(Code::ProgramEnded, "the parent"))
+                Err(Refusal::with_detail(Code::ProgramEnded, "the parent"))
             }
             Some(_) => Ok(()),
         }
@@ -203,15 +207,15 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         id: ProgramId,
     ) {
-        let seq = self.keep(cx, shard, Change::Probe);
-        self.after(
+        let seq = self.replicate(cx, shard, Change::Probe);
+        self.run_after_ack(
             cx,
             shard,
             seq,
-            DeferredAction::Answer(watcher, id, Part::Whole),
+            DeferredAction::Answer(subscriber, id, Part::Whole),
         );
     }
 
@@ -219,19 +223,24 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         id: ProgramId,
     ) {
         if !self.programs.contains_key(&id) {
-            self.refuse_request(cx, Some(shard), watcher, Refusal::new(Code::ProgramUnknown));
+            self.refuse_request(
+                cx,
+                Some(shard),
+                subscriber,
+                Refusal::new(Code::ProgramUnknown),
+            );
             return;
         }
         let seq = self.end_subtree(cx, shard, id);
-        self.after(
+        self.run_after_ack(
             cx,
             shard,
             seq,
-            DeferredAction::Answer(watcher, id, Part::Head),
+            DeferredAction::Answer(subscriber, id, Part::Head),
         );
     }
 
@@ -262,7 +271,7 @@
             if let Some(server) = warm {
                 cx.send(&server, Message::Release { program: member });
             }
-            seq = self.keep_head(cx, member);
+            seq = self.replicate_head(cx, member);
         }
         seq
     }
@@ -297,11 +306,16 @@
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
-        watcher: Subscriber,
+        subscriber: Subscriber,
         judgement: &OutcomeDecision,
     ) {
         let Some(program) = self.programs.get_mut(&judgement.program) else {
-            self.refuse_request(cx, Some(shard), watcher, Refusal::new(Code::ProgramUnknown));
+            self.refuse_request(
+                cx,
+                Some(shard),
+                subscriber,
+                Refusal::new(Code::ProgramUnknown),
+            );
             return;
         };
         let unknown = CallStage::Done(Outcome::refused(Code::OutcomeUnknown));
@@ -310,8 +324,8 @@
             let detail = "the call's outcome is not unknown";
             reply(
                 cx,
-                &watcher,
-                Reply::Refused(Refusal::with(Code::BadRequest, detail)),
+                &subscriber,
+                Reply::Refused(Refusal::with_detail(Code::BadRequest, detail)),
             );
             return;
         };
@@ -326,12 +340,12 @@
         record.stage = CallStage::Done(Outcome::refused(code));
         program.copy.put(record.clone());
         let change = update(&program.copy, Vec::new(), Some(record), Vec::new(), false);
-        let seq = self.keep(cx, shard, change);
-        self.after(
+        let seq = self.replicate(cx, shard, change);
+        self.run_after_ack(
             cx,
             shard,
             seq,
-            DeferredAction::Answer(watcher, judgement.program, Part::Head),
+            DeferredAction::Answer(subscriber, judgement.program, Part::Head),
         );
     }
 }
--- a/lib/src/rate_limiter.rs
+++ b/lib/src/rate_limiter.rs
@@ -161,7 +161,7 @@
     /// The responsible keeper.
     pub keeper: Option<ProcessStart>,
     /// Its standbys, as many as the number of keepers that may fail at once.
-    pub others: Vec<ProcessStart>,
+    pub standbys: Vec<ProcessStart>,
 }
 
 impl RateLimiter {
@@ -182,7 +182,7 @@
     /// once. A keeper that has just started lacks the reports of gateways that have
     /// failed or are cut off from it, so it is only a standby until it has received
     /// reports for a whole window, unless there is no other keeper.
-    pub fn in_charge(
+    pub fn responsible_keepers(
         &self,
         now: Time,
         order: &[ProcessStart],
@@ -194,9 +194,9 @@
         };
         let complete = order.iter().find(|keeper| !is_incomplete(keeper));
         let keeper = complete.or(order.first()).cloned();
-        let others = order.iter().filter(|other| Some(*other) != keeper.as_ref());
+        let standbys = order.iter().filter(|other| Some(*other) != keeper.as_ref());
         ResponsibleKeepers {
-            others: others.take(faults).cloned().collect(),
+            standbys: standbys.take(faults).cloned().collect(),
             keeper,
         }
     }
@@ -212,7 +212,7 @@
     ) -> Decision {
         let bounds = self.bounds;
         let program = program.filter(|_| self.by_programs);
-        let program = program.map(|id| hash::spread(id.bytes()));
+        let program = program.map(|id| hash::mixed_fnv(id.bytes()));
         let account = self.account(now, workspace, allowance);
         if now < account.full_until {
             return Decision::Over(Shortage::Requests, account.full_until.since(now));
@@ -280,7 +280,7 @@
     /// Returns whether the responsible keeper of a workspace lacks requests of this
     /// gateway: some were sent since the last acknowledged report, or the last
     /// report went to another keeper.
-    pub fn is_untold(&self, workspace: &str, keeper: &ProcessStart) -> bool {
+    pub fn has_unreported(&self, workspace: &str, keeper: &ProcessStart) -> bool {
         let account = self.accounts.get(workspace);
         account.is_some_and(|account| {
             account.unacknowledged_since.is_some() || account.reported_to.as_ref() != Some(keeper)
@@ -289,7 +289,7 @@
 
     /// Returns the report to `keeper` on a workspace; `wants` is the request that
     /// needs permission, if there is one.
-    pub fn tell(
+    pub fn report(
         &mut self,
         now: Time,
         workspace: &str,
@@ -312,7 +312,7 @@
     /// Returns the report to the standbys on a workspace, if it is near its limit.
     /// A standby that takes over then has complete counts at once, including those
     /// of gateways that have failed or are cut off by then.
-    pub fn copy(&mut self, now: Time, workspace: &str) -> Option<UsageReport> {
+    pub fn standby_report(&mut self, now: Time, workspace: &str) -> Option<UsageReport> {
         let young = self.has_just_started(now);
         let bounds = self.bounds;
         let account = self.accounts.get_mut(workspace)?;
@@ -330,14 +330,20 @@
     }
 
     /// Records that a keeper did not reply, so that the report is repeated.
-    pub fn unheard(&mut self, workspace: &str) {
+    pub fn record_no_reply(&mut self, workspace: &str) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.reported_to = None;
         }
     }
 
     /// Applies a keeper's reply on a workspace.
-    pub fn hear(&mut self, now: Time, keeper: &ProcessStart, workspace: &str, reply: &UsageReply) {
+    pub fn apply_reply(
+        &mut self,
+        now: Time,
+        keeper: &ProcessStart,
+        workspace: &str,
+        reply: &UsageReply,
+    ) {
         if !reply.young.is_zero() {
             self.incomplete_until.retain(|_, until| now < *until);
             self.incomplete_until
@@ -361,7 +367,7 @@
     }
 
     /// Records that a request is sent after permission was requested.
-    pub fn allow(&mut self, now: Time, counted: &Counted) {
+    pub fn record_permitted(&mut self, now: Time, counted: &Counted) {
         let account = self.accounts.get_mut(&counted.workspace);
         if let (Some(account), Some(program)) = (account, counted.pending.program) {
             account.record_program(now, program);
@@ -374,7 +380,7 @@
     ///
     /// Returns the time after which the caller should retry, through another
     /// gateway.
-    pub fn allow_alone(&mut self, now: Time, counted: &Counted) -> Result<(), Duration> {
+    pub fn decide_without_keeper(&mut self, now: Time, counted: &Counted) -> Result<(), Duration> {
         let gateways = self.gateways;
         let bounds = self.bounds;
         let Some(account) = self.accounts.get_mut(&counted.workspace) else {
@@ -384,12 +390,12 @@
         if account.own.total(now) > part {
             return Err(RETRY_AFTER);
         }
-        self.allow(now, counted);
+        self.record_permitted(now, counted);
         Ok(())
     }
 
     /// Uncounts a request that was counted but not sent.
-    pub fn give_back(&mut self, now: Time, counted: &Counted) {
+    pub fn uncount(&mut self, now: Time, counted: &Counted) {
         if let Some(account) = self.accounts.get_mut(&counted.workspace) {
             account.own.remove(now, counted.slot);
         }
--- a/lib/src/replication.rs
+++ b/lib/src/replication.rs
@@ -30,19 +30,24 @@
 
 impl Owner {
     /// Sends a change to the shard's keeper and returns the change's number.
-    pub(crate) fn keep(&mut self, cx: &mut Context<'_>, shard: ShardId, change: Change) -> u64 {
+    pub(crate) fn replicate(
+        &mut self,
+        cx: &mut Context<'_>,
+        shard: ShardId,
+        change: Change,
+    ) -> u64 {
         let Some(held) = self.shards.get_mut(&shard) else {
             return 0;
         };
         held.seq += 1;
-        held.waiting.get_or_insert(cx.now);
-        if held.unkept.len() >= MAX_UNACKED {
+        held.ack_wait_since.get_or_insert(cx.now);
+        if held.unacked.len() >= MAX_UNACKED {
             // Once the keeper is reachable, it detects the gap and is sent the
             // whole shard.
-            held.unkept.clear();
+            held.unacked.clear();
             held.gap = true;
         }
-        held.unkept.push_back((held.seq, change.clone()));
+        held.unacked.push_back((held.seq, change.clone()));
         if let Some(keeper) = &held.keeper {
             let message = Message::Keep {
                 shard,
@@ -59,23 +64,24 @@
     }
 
     /// Replicates the state of a program without its calls and messages.
-    pub(crate) fn keep_head(&mut self, cx: &mut Context<'_>, id: ProgramId) -> u64 {
+    pub(crate) fn replicate_head(&mut self, cx: &mut Context<'_>, id: ProgramId) -> u64 {
         let Some(program) = self.programs.get(&id) else {
             return 0;
         };
         let change = update(&program.copy, Vec::new(), None, Vec::new(), false);
-        self.keep(cx, id.shard(cx.rules.shards), change)
+        self.replicate(cx, id.shard(cx.rules.shards), change)
     }
 
     /// Returns the budgets of a program's ancestors.
     pub(crate) fn budgets_above(&self, id: ProgramId) -> Vec<(ProgramId, Budget)> {
-        let line = self.line(id).into_iter().skip(1);
-        line.filter_map(|id| Some((id, self.programs.get(&id)?.copy.head.budget)))
+        let ancestry = self.ancestry(id).into_iter().skip(1);
+        ancestry
+            .filter_map(|id| Some((id, self.programs.get(&id)?.copy.head.budget)))
             .collect()
     }
 
     /// Runs `step` once the keeper has acknowledged change `seq`.
-    pub(crate) fn after(
+    pub(crate) fn run_after_ack(
         &mut self,
         cx: &mut Context<'_>,
         shard: ShardId,
@@ -85,11 +91,11 @@
         let Some(held) = self.shards.get_mut(&shard) else {
             return;
         };
-        let acknowledged = !held.gap && held.unkept.front().is_none_or(|(first, _)| *first > seq);
+        let acknowledged = !held.gap && held.unacked.front().is_none_or(|(first, _)| *first > seq);
         if acknowledged {
             self.run_step(cx, step);
         } else {
-            held.steps.push_back((seq, step));
+            held.deferred.push_back((seq, step));
         }
     }
 
@@ -97,25 +103,25 @@
         match step {
             DeferredAction::Dispatch(call) => self.dispatch(cx, call),
             DeferredAction::Finish(call) => {
-                self.forget_done(cx, call);
+                self.drop_server_record(cx, call);
                 self.finish(cx, call);
             }
-            DeferredAction::Refuse(watcher, refusal) => {
-                reply(cx, &watcher, Reply::Refused(refusal))
+            DeferredAction::Refuse(subscriber, refusal) => {
+                reply(cx, &subscriber, Reply::Refused(refusal))
             }
-            DeferredAction::Answer(watcher, program, part) => {
+            DeferredAction::Answer(subscriber, program, part) => {
                 let message = match self.programs.get(&program) {
                     Some(program) => Reply::Program(Box::new(view(&program.copy, part))),
                     None => Reply::Refused(Refusal::new(Code::ProgramUnknown)),
                 };
-                reply(cx, &watcher, message);
+                reply(cx, &subscriber, message);
             }
         }
     }
 
     /// Tells the side process that ran a call to drop its record, since owner
     /// and keeper both have the outcome.
-    pub(crate) fn forget_done(&mut self, cx: &mut Context<'_>, id: CallId) {
+    pub(crate) fn drop_server_record(&mut self, cx: &mut Context<'_>, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -126,7 +132,7 @@
     }
 
     /// Handles a keeper's acknowledgement of all changes up to `seq`.
-    pub(crate) fn kept(
+    pub(crate) fn handle_ack(
         &mut self,
         cx: &mut Context<'_>,
         from: &NodeId,
@@ -140,13 +146,17 @@
         if held.epoch != epoch || held.keeper.as_ref() != Some(from) || held.gap {
             return;
         }
-        while held.unkept.front().is_some_and(|(first, _)| *first <= seq) {
-            held.unkept.pop_front();
+        while held.unacked.front().is_some_and(|(first, _)| *first <= seq) {
+            held.unacked.pop_front();
         }
-        held.waiting = (!held.unkept.is_empty()).then_some(cx.now);
+        held.ack_wait_since = (!held.unacked.is_empty()).then_some(cx.now);
         let mut ready = Vec::new();
-        while held.steps.front().is_some_and(|(first, _)| *first <= seq) {
-            ready.extend(held.steps.pop_front().map(|(_, step)| step));
+        while held
+            .deferred
+            .front()
+            .is_some_and(|(first, _)| *first <= seq)
+        {
+            ready.extend(held.deferred.pop_front().map(|(_, step)| step));
         }
         for step in ready {
             self.run_step(cx, step);
@@ -155,7 +165,7 @@
 
     /// Handles a keeper's refusal: sends it the whole shard if it lacks changes,
     /// or releases the shard if an owner with a higher epoch exists.
-    pub(crate) fn keep_refused(
+    pub(crate) fn handle_rejection(
         &mut self,
         cx: &mut Context<'_>,
         from: &NodeId,
@@ -170,14 +180,14 @@
             return;
         }
         match fault {
-            ChangeRejection::Gap if held.phase == Phase::Loaded => self.fill(cx, shard),
+            ChangeRejection::Gap if held.phase == Phase::Loaded => self.send_full_copy(cx, shard),
             ChangeRejection::Gap => {}
             ChangeRejection::Fenced => self.release(cx, shard),
         }
     }
 
     /// Sends the whole shard to the keeper, replacing its copy.
-    pub(crate) fn fill(&mut self, cx: &mut Context<'_>, shard: ShardId) {
+    pub(crate) fn send_full_copy(&mut self, cx: &mut Context<'_>, shard: ShardId) {
         let count = cx.rules.shards;
         let copies: Vec<ProgramCopy> = self
             .programs
@@ -188,28 +198,28 @@
         let Some(held) = self.shards.get_mut(&shard) else {
             return;
         };
-        held.unkept.clear();
+        held.unacked.clear();
         held.gap = false;
-        held.waiting = None;
-        self.keep(cx, shard, Change::Begin);
+        held.ack_wait_since = None;
+        self.replicate(cx, shard, Change::Begin);
         for copy in copies {
-            self.keep(cx, shard, Change::Program(Box::new(copy)));
+            self.replicate(cx, shard, Change::Program(Box::new(copy)));
         }
-        let seq = self.keep(cx, shard, Change::Complete);
+        let seq = self.replicate(cx, shard, Change::Complete);
         // Steps that waited for an earlier change now wait for the whole copy.
         if let Some(held) = self.shards.get_mut(&shard) {
-            for step in &mut held.steps {
+            for step in &mut held.deferred {
                 step.0 = seq;
             }
         }
     }
 
     /// Sends all unacknowledged changes of a shard to its keeper again.
-    pub(crate) fn resend_unkept(&self, cx: &mut Context<'_>, shard: ShardId, held: &OwnedShard) {
+    pub(crate) fn resend_unacked(&self, cx: &mut Context<'_>, shard: ShardId, held: &OwnedShard) {
         let Some(keeper) = &held.keeper else {
             return;
         };
-        for (seq, change) in &held.unkept {
+        for (seq, change) in &held.unacked {
             let message = Message::Keep {
                 shard,
                 epoch: held.epoch,
@@ -227,18 +237,18 @@
     /// open, read or end a program are refused, to be retried later. Calls that
     /// ran wait for a keeper, since an outcome must not be reported before it is
     /// replicated.
-    pub(crate) fn go_on_alone(&mut self, cx: &mut Context<'_>) {
+    pub(crate) fn proceed_without_keeper(&mut self, cx: &mut Context<'_>) {
         let stuck: Vec<ShardId> = self
             .shards
             .iter()
-            .filter(|(_, held)| held.is_stuck(cx))
+            .filter(|(_, held)| held.has_ack_timed_out(cx))
             .map(|(shard, _)| *shard)
             .collect();
         for shard in stuck {
             let Some(held) = self.shards.get_mut(&shard) else {
                 continue;
             };
-            let steps = std::mem::take(&mut held.steps);
+            let steps = std::mem::take(&mut held.deferred);
             for (seq, step) in steps {
                 self.run_step_without_keeper(cx, shard, seq, step);
             }
@@ -256,11 +266,11 @@
             DeferredAction::Dispatch(id) | DeferredAction::Finish(id) => self.calls.get_mut(id),
             DeferredAction::Refuse(..) | DeferredAction::Answer(..) => None,
         };
-        let repeatable = |call: &Call| call.program.is_single() && call.record.idempotent;
+        let repeatable = |call: &Call| call.program.is_single_call() && call.record.idempotent;
         match (step, call) {
             (step, Some(call)) if repeatable(call) => self.run_step(cx, step),
             (DeferredAction::Dispatch(id), Some(_)) => {
-                self.conclude(cx, id, Outcome::refused(Code::NoServer));
+                self.record_outcome(cx, id, Outcome::refused(Code::NoServer));
             }
             (DeferredAction::Finish(id), Some(call)) if call.is_refused() => {
                 // "Not run" may only be reported once the keeper has recorded
@@ -269,12 +279,16 @@
                 call.state = State::PersistingOutcome { outcome };
                 self.finish(cx, id);
             }
-            (DeferredAction::Refuse(watcher, _) | DeferredAction::Answer(watcher, ..), _) => {
-                reply(cx, &watcher, Reply::Refused(Refusal::new(Code::NoKeeper)));
+            (DeferredAction::Refuse(subscriber, _) | DeferredAction::Answer(subscriber, ..), _) => {
+                reply(
+                    cx,
+                    &subscriber,
+                    Reply::Refused(Refusal::new(Code::NoKeeper)),
+                );
             }
             (step @ DeferredAction::Finish(_), _) => {
                 if let Some(held) = self.shards.get_mut(&shard) {
-                    held.steps.push_back((seq, step));
+                    held.deferred.push_back((seq, step));
                 }
             }
             (DeferredAction::Dispatch(_), None) => {}
--- a/lib/src/report_schedule.rs
+++ b/lib/src/report_schedule.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records that a report is sent.
-    pub fn note(&mut self, now: Time, busy: bool) {
+    pub fn record(&mut self, now: Time, busy: bool) {
         self.last = Some(now);
         self.was_busy = busy;
     }
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -45,7 +45,7 @@
 
 impl RetryBudget {
     /// Adds to the budget of a service, as one of its servers answered a request.
-    pub fn answered(&mut self, now: Time, service: &Arc<str>) {
+    pub fn earn(&mut self, now: Time, service: &Arc<str>) {
         let bucket = self.bucket(now, service);
         bucket.retries = (bucket.retries + RETRIES_PER_ANSWER).min(MAX_RETRIES);
     }
--- a/lib/src/retry_hint.rs
+++ b/lib/src/retry_hint.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns after which time the caller of a program's session should retry.
-    pub fn after(&mut self, now: Time, program: &Arc<str>, session: &Arc<str>) -> Duration {
+    pub fn retry_after(&mut self, now: Time, program: &Arc<str>, session: &Arc<str>) -> Duration {
         let since = *self.unready_since.get_or_insert(now);
         if self.sessions.len() >= MAX_SESSIONS {
             self.sessions
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -43,22 +43,22 @@
     /// Maximum time that a caller is kept waiting.
     pub timeout: Duration,
     /// Target latency, within which an answer has its full value.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Priority; 0 is the highest.
     pub priority: u8,
     /// Services that handle its requests.
     pub targets: Vec<Weighted>,
     /// Maximum number of servers that one attempt is sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// How long turns are stored; `None` if they are not.
     pub retention: Option<Duration>,
     /// Whether to prefer a server that has handled the same object.
     pub sticky: bool,
     /// Target for the pause between events of an answer, the longest that is
     /// still in time.
-    pub gap: Option<Duration>,
+    pub gap_target: Option<Duration>,
     /// Whether it accepts requests without a key.
-    pub open: bool,
+    pub anonymous: bool,
 }
 
 impl Route {
@@ -100,23 +100,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum size of a request's head, in bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Maximum size of a request's body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Maximum time to receive the head.
-    pub head_wait: Duration,
+    pub head_timeout: Duration,
     /// Maximum time for which a connection may be idle.
-    pub idle_wait: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// The values in force until the operator's document is known.
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            body: 4 << 20,
-            head_wait: Duration::from_secs(3),
-            idle_wait: Duration::from_secs(15),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/lib/src/rules.rs
+++ b/lib/src/rules.rs
@@ -86,7 +86,7 @@
 
     /// Returns the time to wait for an acknowledgement if no keeper can be
     /// chosen.
-    pub fn alone_wait(&self) -> Duration {
+    pub fn ack_timeout(&self) -> Duration {
         Duration::from_millis(self.alone_ms)
     }
 
--- a/lib/src/server.rs
+++ b/lib/src/server.rs
@@ -24,7 +24,7 @@
     /// Its id, which is the same after a restart.
     pub id: Arc<str>,
     /// Start time in Unix milliseconds, if given.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// The service that it belongs to.
     pub service: Arc<str>,
     /// Address that accepts requests.
@@ -40,7 +40,7 @@
 impl Server {
     /// Returns a digest that identifies this start of the server.
     pub fn start(&self) -> ServerStart {
-        let start = match self.born {
+        let start = match self.started_at {
             Some(born) => born.to_string(),
             None => self.address.to_string(),
         };
@@ -49,14 +49,14 @@
 
     /// Returns whether this describes an earlier start than `other`.
     pub(crate) fn is_before(&self, other: &Self) -> bool {
-        matches!((self.born, other.born), (Some(own), Some(other)) if own < other)
+        matches!((self.started_at, other.started_at), (Some(own), Some(other)) if own < other)
     }
 
     /// Returns whether this describes the same start as the previously known
     /// `other`. A server that gives its start time gives it for as long as it
     /// runs; one that does not keeps its address for as long.
     pub(crate) fn is_same_start(&self, other: &Self) -> bool {
-        let same = match (self.born, other.born) {
+        let same = match (self.started_at, other.started_at) {
             (Some(own), Some(other)) => own == other,
             (Some(_), None) => false,
             (None, _) => self.address == other.address,
--- a/lib/src/server_messages.rs
+++ b/lib/src/server_messages.rs
@@ -49,14 +49,14 @@
         }
         let new_bytes = &bytes[(received_len - offset) as usize..];
         call.bytes.extend_from_slice(new_bytes);
-        for watcher in &call.watchers {
+        for subscriber in &call.subscribers {
             let message = Message::Chunk {
-                ticket: watcher.ticket,
+                ticket: subscriber.ticket,
                 attempt,
                 offset: received_len,
                 bytes: new_bytes.to_vec(),
             };
-            cx.send(&watcher.node, message);
+            cx.send(&subscriber.node, message);
         }
     }
 
@@ -74,7 +74,7 @@
         if self.current_attempt(from, id, attempt).is_none() {
             return;
         }
-        self.conclude(cx, id, outcome);
+        self.record_outcome(cx, id, outcome);
     }
 
     pub(crate) fn order_refused(
@@ -99,7 +99,7 @@
             } else {
                 Code::DeadlinePassed
             };
-            self.conclude(cx, id, Outcome::refused(code));
+            self.record_outcome(cx, id, Outcome::refused(code));
             return;
         }
         self.retry_on_other_server(cx, id, from.clone());
@@ -128,7 +128,7 @@
         } else if call.request.is_none() {
             // The call was taken over and its caller has not sent it again.
             // It ends as not run, so the caller may send it again later.
-            self.conclude(cx, id, Outcome::refused(Code::NoOwner));
+            self.record_outcome(cx, id, Outcome::refused(Code::NoOwner));
         } else if call.tried.len() >= cx.rules.tries as usize {
             self.refuse(cx, id, Refusal::new(Code::Overloaded));
         } else {
@@ -167,7 +167,7 @@
         };
         call.state = State::AwaitingAdmission;
         if call.request.is_none() {
-            self.conclude(cx, id, Outcome::refused(Code::NoOwner));
+            self.record_outcome(cx, id, Outcome::refused(Code::NoOwner));
         } else {
             self.place(cx, id);
         }
@@ -183,6 +183,6 @@
         } else {
             Code::OutcomeUnknown
         };
-        self.conclude(cx, id, Outcome::refused(code));
+        self.record_outcome(cx, id, Outcome::refused(code));
     }
 }
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestConditions {
     /// Prompt tokens that had to be prefilled.
-    pub cold: u64,
+    pub uncached: u64,
     /// Other requests at the server at that time.
     pub others: f64,
     /// Number of requests that the server runs concurrently.
@@ -46,7 +46,7 @@
 
 impl RequestConditions {
     fn first_input(&self) -> [f64; 3] {
-        [1.0, self.cold as f64 / 1_000.0, self.others]
+        [1.0, self.uncached as f64 / 1_000.0, self.others]
     }
 
     fn event_input(&self) -> [f64; 2] {
@@ -149,7 +149,7 @@
     pub fn first_event(&self, work: &RequestConditions) -> f64 {
         self.first
             .value(&work.first_input())
-            .max(self.prefill_ms(work.cold))
+            .max(self.prefill_ms(work.uncached))
     }
 
     /// Returns the expected time of a part of an answer at a typical server, in
--- a/lib/src/shard_copies.rs
+++ b/lib/src/shard_copies.rs
@@ -258,7 +258,7 @@
                 if let Some(record) = record {
                     copy.put(*record);
                 }
-                copy.remember(replace, turns);
+                copy.extend_history(replace, turns);
             }
             Change::Forget(program) => {
                 self.programs.remove(&program);
--- a/lib/src/shard_planner.rs
+++ b/lib/src/shard_planner.rs
@@ -85,7 +85,7 @@
         let wait = cx.rules.takeover_wait();
         let free = match &current.owner {
             None => true,
-            Some(owner) => cx.members.is_silent(cx.now, owner, wait),
+            Some(owner) => cx.members.has_no_link_for(cx.now, owner, wait),
         };
         if !free || self.first_entry(cx, shard, false).as_ref() != Some(&self.node) {
             return None;
@@ -118,7 +118,7 @@
             }
         }
         let has_rested =
-            cx.now.since(held.since) >= BALANCE_REST && held.unkept_for(cx.now).is_zero();
+            cx.now.since(held.since) >= BALANCE_REST && held.ack_wait(cx.now).is_zero();
         if has_rested && *moves > 0 && current.keeper.is_some() {
             let best = self.first_entry(cx, shard, true)?;
             if best != self.node {
@@ -141,7 +141,7 @@
         let late = cx.now.since(held.since) >= cx.rules.cold_wait();
         let is_unlinked = |keeper: &NodeId| !cx.members.is_linked(keeper);
         let has_no_link = current.keeper.as_ref().is_none_or(is_unlinked);
-        if !(held.hopeless || late && has_no_link) {
+        if !(held.keeper_has_no_copy || late && has_no_link) {
             return None;
         }
         let keeper = self.choose_keeper(cx, shard, None);
@@ -167,7 +167,9 @@
         };
         let wait = cx.rules.keeper_wait();
         let leaving = cx.members.get(keeper).is_some_and(Member::is_leaving);
-        leaving || cx.members.is_silent(cx.now, keeper, wait) || held.unkept_for(cx.now) >= wait * 2
+        leaving
+            || cx.members.has_no_link_for(cx.now, keeper, wait)
+            || held.ack_wait(cx.now) >= wait * 2
     }
 
     /// Returns the first-ranked entry for `shard` among the eligible ones; this
@@ -186,7 +188,7 @@
             let up = if in_service_only {
                 cx.members.in_service(cx.now, id)
             } else {
-                !cx.members.is_silent(cx.now, id, wait)
+                !cx.members.has_no_link_for(cx.now, id, wait)
             };
             member.node.role == Role::Entry && up && !member.is_leaving()
         };
--- a/lib/src/side.rs
+++ b/lib/src/side.rs
@@ -465,7 +465,7 @@
     fn update_speed(&mut self, now: Time) {
         let span = now.since(self.speed_updated);
         self.speed_updated = now;
-        self.speed.note(span * self.model_calls, 0);
+        self.speed.record(span * self.model_calls, 0);
     }
 
     fn start(&mut self, now: Time, key: AttemptKey, out: &mut Vec<Effect>) {
@@ -519,7 +519,7 @@
         let AttemptState::Running { bytes, .. } = &mut record.state else {
             return;
         };
-        self.speed.note(Duration::ZERO, 1);
+        self.speed.record(Duration::ZERO, 1);
         let offset = bytes.len() as u64;
         bytes.extend_from_slice(&chunk);
         let message = Message::OrderChunk {
@@ -596,7 +596,7 @@
             outcome,
         };
         send(&record.owner, message, out);
-        if record.program.is_single() {
+        if record.program.is_single_call() {
             // The program consists of this call only, so it has ended.
             let program = record.program;
             self.release_cache(program, out);
@@ -653,7 +653,7 @@
             for peer in peers {
                 self.send_heartbeat(&peer, out);
             }
-            self.speed.fade();
+            self.speed.decay();
         }
         if now.since(self.last_sweep) >= SWEEP_INTERVAL {
             self.last_sweep = now;
--- a/lib/src/speed.rs
+++ b/lib/src/speed.rs
@@ -22,13 +22,13 @@
 impl Speed {
     /// Adds `busy`, the running time summed over all calls, and the number of
     /// chunks received.
-    pub fn note(&mut self, busy: Duration, chunks: u32) {
+    pub fn record(&mut self, busy: Duration, chunks: u32) {
         self.busy += busy.as_secs_f64();
         self.chunks += f64::from(chunks);
     }
 
     /// Scales down all earlier measurements; to be called once per report.
-    pub fn fade(&mut self) {
+    pub fn decay(&mut self) {
         self.busy *= DECAY;
         self.chunks *= DECAY;
     }
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -122,7 +122,7 @@
 
     /// Returns the complete answer in the format for callers that did not request
     /// a stream.
-    pub fn whole(&self, id: &str) -> Value {
+    pub fn completion(&self, id: &str) -> Value {
         json!({
             "id": id,
             "object": "chat.completion",
--- a/lib/src/store_watch.rs
+++ b/lib/src/store_watch.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records that another process has seen the store at `revision`.
-    pub fn note_revision(&mut self, now: Time, revision: u64) {
+    pub fn record_other_revision(&mut self, now: Time, revision: u64) {
         if revision > self.revision {
             self.behind_since.get_or_insert(now);
         }
@@ -56,7 +56,7 @@
 
     /// Returns the deadline after which the call is treated as lost: the store may
     /// have accepted it and never answer.
-    pub fn limit(&self) -> Time {
+    pub fn deadline(&self) -> Time {
         let limit = self.sent + self.hold + ANSWER_TIMEOUT;
         self.behind_since
             .map_or(limit, |since| limit.min(since + BEHIND_TIMEOUT))
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -39,7 +39,7 @@
         let held = OwnedShard::new(cx.now, assignment, phase);
         self.shards.insert(shard, held);
         if is_new {
-            self.fill(cx, shard);
+            self.send_full_copy(cx, shard);
         } else {
             self.request_copy(cx, shard);
         }
@@ -60,11 +60,11 @@
             held.phase = Phase::Loaded;
             held.incoming.clear();
             let parked = std::mem::take(&mut held.parked);
-            self.fill(cx, shard);
+            self.send_full_copy(cx, shard);
             self.resume_parked(cx, shard, parked);
             return;
         }
-        self.fill(cx, shard);
+        self.send_full_copy(cx, shard);
     }
 
     pub(crate) fn request_copy(&mut self, cx: &mut Context<'_>, shard: ShardId) {
@@ -112,7 +112,7 @@
             return;
         }
         let Some(seq) = seq else {
-            held.hopeless = true;
+            held.keeper_has_no_copy = true;
             held.incoming.clear();
             return;
         };
@@ -124,7 +124,7 @@
         for copy in incoming.into_values() {
             self.install_program(cx, shard, copy);
         }
-        cx.note(
+        cx.log(
             LogEvent::new("shard_adopted")
                 .with("shard", shard)
                 .with("epoch", epoch)
@@ -140,7 +140,13 @@
         parked: Vec<ParkedRequest>,
     ) {
         for request in parked {
-            self.accept(cx, shard, request.watcher, request.request, request.offset);
+            self.accept(
+                cx,
+                shard,
+                request.subscriber,
+                request.request,
+                request.offset,
+            );
         }
     }
 
@@ -174,7 +180,7 @@
                 boot,
                 since: cx.now,
             },
-            watchers: Vec::new(),
+            subscribers: Vec::new(),
             bytes: Vec::new(),
             deadline: cx.now + cx.rules.retention(),
             tried: Vec::new(),
@@ -217,12 +223,13 @@
             return;
         };
         for request in held.parked {
-            reply(cx, &request.watcher, Reply::Moved);
+            reply(cx, &request.subscriber, Reply::Moved);
         }
-        for (_, step) in held.steps {
-            if let DeferredAction::Answer(watcher, _, _) | DeferredAction::Refuse(watcher, _) = step
+        for (_, step) in held.deferred {
+            if let DeferredAction::Answer(subscriber, _, _)
+            | DeferredAction::Refuse(subscriber, _) = step
             {
-                reply(cx, &watcher, Reply::Moved);
+                reply(cx, &subscriber, Reply::Moved);
             }
         }
         let calls: Vec<CallId> = self
@@ -242,8 +249,8 @@
             } else {
                 self.admission.remove_queued(&key, id);
             }
-            for watcher in &call.watchers {
-                reply(cx, watcher, Reply::Moved);
+            for subscriber in &call.subscribers {
+                reply(cx, subscriber, Reply::Moved);
             }
         }
         let count = cx.rules.shards;
--- a/lib/src/turn_cost.rs
+++ b/lib/src/turn_cost.rs
@@ -45,9 +45,9 @@
     /// Size of its body, in bytes.
     pub body: u64,
     /// Whether it is a turn whose history is stored.
-    pub kept: bool,
+    pub has_history: bool,
     /// Whether another gateway handed it over.
-    pub handed: bool,
+    pub handed_over: bool,
 }
 
 /// Learned costs of turns.
@@ -59,13 +59,13 @@
 
 impl TurnCost {
     /// Records the bytes that the link carried for a turn with stored history.
-    pub fn observe_moved(&mut self, bytes: u64) {
+    pub fn observe_link_bytes(&mut self, bytes: u64) {
         update_mean(&mut self.moved, bytes as f64);
     }
 
     /// Records how long a turn was in flight, from its head to the end of its
     /// answer.
-    pub fn observe_stay(&mut self, stay: Duration) {
+    pub fn observe_time_in_flight(&mut self, stay: Duration) {
         update_mean(&mut self.stay, stay.as_secs_f64());
     }
 
@@ -78,7 +78,7 @@
     /// Returns the capacity that a gateway uses to serve a request, in seconds.
     pub(crate) fn serve_time(&self, offer: RequestSize, power: Power) -> f64 {
         let body = offer.body as f64;
-        let bytes = if offer.kept {
+        let bytes = if offer.has_history {
             self.moved.unwrap_or(0.0).max(body * STORED_COPIES)
         } else {
             body * FORWARD_COPIES
--- a/lib/src/urgency.rs
+++ b/lib/src/urgency.rs
@@ -16,7 +16,7 @@
 
 /// Returns the rank of a request at an engine, where lower ranks are served
 /// first. `remains` is the time left to the request's program, if there is one.
-pub fn rank(priority: u8, remains: Option<Duration>) -> u8 {
+pub fn engine_rank(priority: u8, remains: Option<Duration>) -> u8 {
     let is_late = remains.is_some_and(|remains| remains.is_zero());
     let group = if is_late { PRIORITIES } else { 0 };
     FIRST_RANK + group + priority.min(PRIORITIES - 1)
--- a/lib/tests/allowances.rs
+++ b/lib/tests/allowances.rs
@@ -142,14 +142,16 @@
     }
 
     /// Returns the keepers that a gateway uses, those with low numbers first.
-    fn in_charge(&self, gateway: usize) -> ResponsibleKeepers {
+    fn responsible_keepers(&self, gateway: usize) -> ResponsibleKeepers {
         let gateway = &self.gateways[gateway];
         if gateway.cut_until > self.now {
             return ResponsibleKeepers::default();
         }
         let order = self.keepers.iter().flatten();
         let order: Vec<ProcessStart> = order.map(|(start, _)| start.clone()).collect();
-        gateway.spending.in_charge(time(self.now), &order, FAULTS)
+        gateway
+            .spending
+            .responsible_keepers(time(self.now), &order, FAULTS)
     }
 
     fn book(&mut self, keeper: &ProcessStart) -> &mut AllowanceCounter {
@@ -163,16 +165,16 @@
         gateway: usize,
         wants: Option<&Counted>,
     ) -> Option<Option<KeeperDecision>> {
-        let keeper = self.in_charge(gateway).keeper?;
+        let keeper = self.responsible_keepers(gateway).keeper?;
         let now = time(self.now);
         let name = self.workspace.name.clone();
         let own = &mut self.gateways[gateway];
-        let report = own.spending.tell(now, &name, &keeper, wants)?;
+        let report = own.spending.report(now, &name, &keeper, wants)?;
         let start = own.start.clone();
-        let reply = self.book(&keeper).take(now, &start, &report);
+        let reply = self.book(&keeper).apply_report(now, &start, &report);
         let own = &mut self.gateways[gateway].spending;
-        own.hear(now, &keeper, &name, &reply);
-        if wants.is_some() && self.in_charge(gateway).keeper != Some(keeper) {
+        own.apply_reply(now, &keeper, &name, &reply);
+        if wants.is_some() && self.responsible_keepers(gateway).keeper != Some(keeper) {
             // The keeper has just started: another one has more complete counts.
             return self.report(gateway, wants);
         }
@@ -202,13 +204,13 @@
                         KeeperDecision::Full(after) | KeeperDecision::Closed { turn: after, .. },
                     )) => Err(after),
                     Some(_) => {
-                        own.allow(now, &counted);
+                        own.record_permitted(now, &counted);
                         Ok(())
                     }
-                    None => own.allow_alone(now, &counted),
+                    None => own.decide_without_keeper(now, &counted),
                 };
                 if result.is_err() {
-                    own.give_back(now, &counted);
+                    own.uncount(now, &counted);
                 }
                 result
             }
@@ -260,18 +262,18 @@
     fn send_due_reports(&mut self, gateway: usize) {
         let now = time(self.now);
         let name = self.workspace.name.clone();
-        let ResponsibleKeepers { keeper, others } = self.in_charge(gateway);
+        let ResponsibleKeepers { keeper, standbys } = self.responsible_keepers(gateway);
         let own = &mut self.gateways[gateway];
         own.spending.active(now);
-        let copy = own.spending.copy(now, &name);
+        let copy = own.spending.standby_report(now, &name);
         let start = own.start.clone();
-        for other in others {
+        for other in standbys {
             if let Some(copy) = &copy {
-                self.book(&other).take(now, &start, copy);
+                self.book(&other).apply_report(now, &start, copy);
             }
         }
         let own = &self.gateways[gateway].spending;
-        if keeper.is_some_and(|keeper| own.is_untold(&name, &keeper)) {
+        if keeper.is_some_and(|keeper| own.has_unreported(&name, &keeper)) {
             self.report(gateway, None);
         }
     }
@@ -457,7 +459,7 @@
             .decide(time(60_000), &world.workspace, &allowance, None);
     }
     let mut report = |now| {
-        let report = own.spending.tell(time(now), "hule930", &keeper, None);
+        let report = own.spending.report(time(now), "hule930", &keeper, None);
         report.expect("the workspace is active")
     };
     let other = ProcessStart {
@@ -466,10 +468,10 @@
     };
 
     let first = report(60_000);
-    book.take(time(60_000), &own.start, &first);
+    book.apply_report(time(60_000), &own.start, &first);
     let again = report(60_010);
-    book.take(time(60_010), &own.start, &again);
-    let seen = book.take(time(61_000), &other, &first);
+    book.apply_report(time(60_010), &own.start, &again);
+    let seen = book.apply_report(time(61_000), &other, &first);
 
     assert_eq!(seen.others, Some(3));
 }
--- a/lib/tests/cached.rs
+++ b/lib/tests/cached.rs
@@ -33,7 +33,7 @@
 fn server(number: u16) -> Server {
     Server {
         id: format!("server-{number}").into(),
-        born: None,
+        started_at: None,
         service: Arc::from("engine"),
         address: ([10, 0, 0, 1], 8_000 + number).into(),
         centre: Arc::from("here"),
@@ -102,14 +102,14 @@
     first.begin(Time::default(), key, &turn(&parts));
 
     let place = first.place(key, part(CHAIN, 1_200)).expect("known server");
-    second.take_places(Time::default(), &[place]);
+    second.apply_places(Time::default(), &[place]);
 
     for draw in [0.0, 0.6] {
-        let wish = Criteria {
+        let criteria = Criteria {
             draw,
             ..turn(&next)
         };
-        let key = second.pick(Time::default(), "engine", &wish);
+        let key = second.pick(Time::default(), "engine", &criteria);
         assert_eq!(key, second.key("server-1"));
     }
 }
@@ -119,20 +119,20 @@
     let first = gateway();
     let key = first.key("server-1").expect("known server");
     let place = first.place(key, part(CHAIN, 9_000)).expect("known server");
-    for born in [Some(7), None] {
+    for started_at in [Some(7), None] {
         let mut second = gateway();
         let again = Server {
-            born,
+            started_at,
             address: ([10, 0, 0, 9], 9_000).into(),
             ..server(1)
         };
 
         second.put(again);
-        second.take_places(Time::default(), &[place]);
+        second.apply_places(Time::default(), &[place]);
         let key = second.key("server-1").expect("known server");
         let work = second.begin(Time::default(), key, &turn(&[part(CHAIN, 9_500)]));
 
-        assert_eq!(work.cold, 9_500);
+        assert_eq!(work.uncached, 9_500);
     }
 }
 
--- a/lib/tests/dispatch_queue.rs
+++ b/lib/tests/dispatch_queue.rs
@@ -37,20 +37,20 @@
     })
 }
 
-/// Returns a call of a workspace that arrived at `since`, with a late deadline.
+/// Returns a call of a workspace that arrived at `arrived_at`, with a late deadline.
 fn call(workspace: &str, rank: u8, since: u64) -> QueuedRequest {
     QueuedRequest {
         workspace: Some(Arc::from(workspace)),
         rank,
-        since: at(since),
-        until: at(since + 60_000),
+        arrived_at: at(since),
+        send_by: at(since + 60_000),
         work: millis(10),
         bytes: 100,
     }
 }
 
 fn push<T>(queue: &mut DispatchQueue<T>, waiting: QueuedRequest, owner: T) {
-    let now = waiting.since;
+    let now = waiting.arrived_at;
     let pushed = queue.push(now, waiting, None, owner);
     assert!(pushed.is_ok_and(|pushed| pushed.displaced.is_empty()));
 }
@@ -197,7 +197,7 @@
     /// Queues the call, and returns whether it was accepted.
     fn push(&mut self, now: u64, one: Call) -> bool {
         let waiting = QueuedRequest {
-            until: at(one.due - WORK_MS),
+            send_by: at(one.due - WORK_MS),
             ..call("all", CHAT, now)
         };
         let rate = self.limit.rate(at(now));
@@ -408,7 +408,7 @@
     push(&mut queue, call("a", CHAT, 0), "first");
     push(&mut queue, call("a", CHAT, 0), "second");
     let hasty = QueuedRequest {
-        until: at(100),
+        send_by: at(100),
         ..call("a", CHAT, 0)
     };
     push(&mut queue, hasty, "hasty");
@@ -454,7 +454,7 @@
 fn a_call_expires_when_its_time_left_is_shorter_than_its_work() {
     let mut queue = queue(10);
     let waiting = QueuedRequest {
-        until: at(500),
+        send_by: at(500),
         ..call("a", CHAT, 0)
     };
     push(&mut queue, waiting, ());
@@ -468,7 +468,7 @@
 fn a_call_that_cannot_be_served_in_time_is_refused_immediately() {
     let mut queue = queue(1_000);
     let hasty = |workspace, until| QueuedRequest {
-        until: at(until),
+        send_by: at(until),
         ..call(workspace, CHAT, 0)
     };
     for _ in 0..100 {
@@ -481,7 +481,7 @@
     let hastier = queue.push(at(0), hasty("a", 800), Some(100.0), ());
 
     // A hundred calls take a second, 100 ms more than the call has.
-    assert_matches!(too_late, Err(QueueRefusal::Slow { after }) if after >= millis(100));
+    assert_matches!(too_late, Err(QueueRefusal::Slow { retry_after }) if retry_after >= millis(100));
     assert!(unknown.is_ok(), "nothing is known of the rate");
     assert!(
         other_share.is_ok(),
@@ -575,7 +575,7 @@
         72,
         Duration::ZERO,
     );
-    limit.relax(at(2_500));
+    limit.lift_if_idle(at(2_500));
     assert_eq!(limit.limit(), None);
 }
 
@@ -613,7 +613,7 @@
             match step {
                 Step::Push(rank, name, time, bytes) => {
                     let waiting = QueuedRequest {
-                        until: at(now + u64::from(time)),
+                        send_by: at(now + u64::from(time)),
                         bytes,
                         ..call(&name.to_string(), rank, now)
                     };
--- a/lib/tests/events.rs
+++ b/lib/tests/events.rs
@@ -53,7 +53,7 @@
     splitter.push(&whole[..whole.len() - 1]);
     while splitter.next_event().is_some() {}
 
-    assert!(splitter.is_midway());
+    assert!(splitter.has_partial_event());
 }
 
 proptest! {
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -24,7 +24,7 @@
 fn server(number: u16) -> Server {
     Server {
         id: format!("server-{number}").into(),
-        born: None,
+        started_at: None,
         service: Arc::from("engine"),
         address: ([10, 0, 0, 1], 8_000 + number).into(),
         centre: Arc::from(if number.is_multiple_of(2) {
@@ -45,7 +45,7 @@
     fleet
 }
 
-fn wish(draw: f64) -> Criteria<'static> {
+fn criteria(draw: f64) -> Criteria<'static> {
     Criteria {
         centre: "here",
         draw,
@@ -59,21 +59,21 @@
 
 /// Sends requests that do not end, and returns the number at each server.
 fn fill(fleet: &mut Fleet, count: usize) -> HashMap<String, usize> {
-    fill_with(fleet, count, wish)
+    fill_with(fleet, count, criteria)
 }
 
 fn fill_with<'a>(
     fleet: &mut Fleet,
     count: usize,
-    wish: impl Fn(f64) -> Criteria<'a>,
+    criteria: impl Fn(f64) -> Criteria<'a>,
 ) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for number in 0..count {
-        let wish = wish((number as f64 * 0.618).fract());
+        let criteria = criteria((number as f64 * 0.618).fract());
         let key = fleet
-            .pick(Time::default(), "engine", &wish)
+            .pick(Time::default(), "engine", &criteria)
             .expect("a server");
-        fleet.begin(Time::default(), key, &wish);
+        fleet.begin(Time::default(), key, &criteria);
         *counts.entry(id(fleet, key)).or_insert(0) += 1;
     }
     counts
@@ -109,7 +109,7 @@
     ];
     let with = |draw| Criteria {
         parts: &parts,
-        ..wish(draw)
+        ..criteria(draw)
     };
     let first = fleet
         .pick(Time::default(), "engine", &with(0.9))
@@ -132,7 +132,7 @@
     }];
     let with = Criteria {
         parts: &parts,
-        ..wish(0.0)
+        ..criteria(0.0)
     };
     let first = fleet
         .pick(Time::default(), "engine", &with)
@@ -177,7 +177,7 @@
     let chain = [Part { id: 1, tokens: 600 }];
     let with = |draw| Criteria {
         parts: &chain,
-        ..wish(draw)
+        ..criteria(draw)
     };
     let current = fleet.key("server-0").expect("known server");
     let later = Time::default() + Duration::from_secs(5);
@@ -204,7 +204,7 @@
     let idle = fleet.key("server-4").expect("known server");
     fleet.report(later, idle, Load::default());
 
-    let picked = [0.1, 0.5, 0.9].map(|draw| fleet.pick(later, "engine", &wish(draw)));
+    let picked = [0.1, 0.5, 0.9].map(|draw| fleet.pick(later, "engine", &criteria(draw)));
 
     assert_eq!(picked, [Some(idle); 3]);
 }
@@ -221,7 +221,7 @@
     }];
     let with = |draw| Criteria {
         parts: &shared,
-        ..wish(draw)
+        ..criteria(draw)
     };
     for number in 0..20 {
         let key = fleet
@@ -246,7 +246,7 @@
 fn load_from_other_processes_counts() {
     let mut fleet = fleet(1);
     let key = fleet
-        .pick(Time::default(), "engine", &wish(0.0))
+        .pick(Time::default(), "engine", &criteria(0.0))
         .expect("a server");
     fleet.put(server(2));
     let busy = Load {
@@ -258,7 +258,7 @@
 
     fleet.report(Time::default(), key, busy);
     let soon = fleet
-        .pick(Time::from_millis(10), "engine", &wish(0.0))
+        .pick(Time::from_millis(10), "engine", &criteria(0.0))
         .expect("a server");
 
     assert_ne!(soon, key);
@@ -268,12 +268,12 @@
 fn a_server_that_dropped_a_connection_is_avoided_for_a_while() {
     let mut fleet = fleet(2);
     let now = Time::default();
-    let first = fleet.pick(now, "engine", &wish(0.0)).expect("a server");
-    fleet.begin(Time::default(), first, &wish(0.0));
+    let first = fleet.pick(now, "engine", &criteria(0.0)).expect("a server");
+    fleet.begin(Time::default(), first, &criteria(0.0));
     fleet.end(now, first, ServerOutcome::Broken);
 
-    let soon = fleet.pick(now, "engine", &wish(0.0));
-    let later = fleet.pick(Time::from_millis(500), "engine", &wish(0.0));
+    let soon = fleet.pick(now, "engine", &criteria(0.0));
+    let later = fleet.pick(Time::from_millis(500), "engine", &criteria(0.0));
 
     assert_ne!(soon, Some(first));
     assert_eq!(later, Some(first));
@@ -295,8 +295,8 @@
 fn lapsed_entries_are_kept_until_their_servers_had_time_to_register_again() {
     let mut fleet = fleet(2);
     let until = Time::default() + REGISTER_GRACE;
-    fleet.lapse("server-0", until);
-    fleet.lapse("server-1", until);
+    fleet.keep_until("server-0", until);
+    fleet.keep_until("server-1", until);
 
     let before = fleet.expire(Time::from_millis(1_900));
     fleet.put(server(1));
@@ -318,10 +318,14 @@
     other.service = Arc::from("plain");
     fleet.put(other);
 
-    fleet.drop_server("server-0");
+    fleet.remove_server("server-0");
 
-    assert_eq!(fleet.pick(Time::default(), "engine", &wish(0.0)), None);
-    assert!(fleet.pick(Time::default(), "plain", &wish(0.0)).is_some());
+    assert_eq!(fleet.pick(Time::default(), "engine", &criteria(0.0)), None);
+    assert!(
+        fleet
+            .pick(Time::default(), "plain", &criteria(0.0))
+            .is_some()
+    );
 }
 
 /// Idle connections to the servers with even numbers.
@@ -348,9 +352,9 @@
     let mut fleet = fleet(8);
     let even = EvenConnections::new(&fleet);
     let connected = Criteria {
-        connected: Some(&even),
+        idle_connections: Some(&even),
         centre: "nowhere",
-        ..wish(0.3)
+        ..criteria(0.3)
     };
     for _ in 0..4 {
         let key = fleet
@@ -367,12 +371,12 @@
     assert!(!even.has(next), "expected a server without requests");
 }
 
-/// Returns an entry of server 0 that started at `born`, with a different address
+/// Returns an entry of server 0 that started at `started_at`, with a different address
 /// for each start.
-fn server_started_at(born: u64) -> Server {
+fn server_started_at(started_at: u64) -> Server {
     Server {
-        born: Some(born),
-        address: ([10, 0, 0, 2], born as u16).into(),
+        started_at: Some(started_at),
+        address: ([10, 0, 0, 2], started_at as u16).into(),
         ..server(0)
     }
 }
@@ -386,7 +390,7 @@
     }];
     let with = Criteria {
         parts: &parts,
-        ..wish(0.0)
+        ..criteria(0.0)
     };
     fleet.put(server_started_at(1));
     let old = fleet.key("server-0").expect("known server");
@@ -401,7 +405,7 @@
     fleet.end(Time::default(), old, ServerOutcome::Broken);
 
     assert_eq!(arrival, Arrival::Restarted);
-    assert!(new != old && !fleet.takes(old) && !fleet.contains(old));
+    assert!(new != old && !fleet.is_ready(old) && !fleet.contains(old));
     assert_eq!(
         fleet.server(new).map(|server| server.address),
         Some(server_started_at(2).address)
@@ -417,7 +421,7 @@
     let mut fleet = fleet(1);
     let old = fleet.key("server-0");
     let again = Server {
-        born: Some(7),
+        started_at: Some(7),
         ..server(0)
     };
 
@@ -441,7 +445,7 @@
 
     assert_eq!((arrival, again), (Arrival::Outdated, Arrival::Outdated));
     assert_eq!(fleet.key("server-0"), key);
-    assert!(key.is_some_and(|key| fleet.takes(key)));
+    assert!(key.is_some_and(|key| fleet.is_ready(key)));
 }
 
 #[test]
@@ -497,7 +501,7 @@
     let key = fleet
         .key(&format!("server-{number}"))
         .expect("known server");
-    fleet.begin(now, key, &wish(0.0)).others
+    fleet.begin(now, key, &criteria(0.0)).others
 }
 
 #[test]
@@ -505,10 +509,14 @@
     // Servers 0 and 2 are near, and this process has no reports from them.
     let mut fleet = fleet_with_reports(4);
     let now = Time::from_millis(1_000);
-    fleet.hear_loads(now, &[sample(0, 30, 20), sample(2, 3, 20)]);
+    fleet.apply_peer_loads(now, &[sample(0, 30, 20), sample(2, 3, 20)]);
 
     let draws = [0.0, 0.3, 0.6, 0.9];
-    let chosen = draws.map(|draw| fleet.pick(now, "engine", &wish(draw)).expect("a server"));
+    let chosen = draws.map(|draw| {
+        fleet
+            .pick(now, "engine", &criteria(draw))
+            .expect("a server")
+    });
 
     for key in chosen {
         assert_ne!(id(&fleet, key), "server-0");
@@ -520,13 +528,13 @@
     let mut fleet = fleet_with_reports(1);
     let key = fleet.key("server-0").expect("known server");
     for millis in [0, 100, 400] {
-        fleet.begin(Time::from_millis(millis), key, &wish(0.0));
+        fleet.begin(Time::from_millis(millis), key, &criteria(0.0));
     }
     let now = Time::from_millis(500);
 
     // Two of the five requests were sent by this process; it sent its third one
     // after the report.
-    fleet.hear_loads(now, &[sample(0, 5, 200)]);
+    fleet.apply_peer_loads(now, &[sample(0, 5, 200)]);
 
     let after = Time::from_millis(300) + Duration::from_millis(200);
     let met = other_requests(&mut fleet, after, 0);
@@ -549,7 +557,7 @@
     };
     fleet.report(now, key, load);
 
-    fleet.hear_loads(now, &[sample(0, 16, 50)]);
+    fleet.apply_peer_loads(now, &[sample(0, 16, 50)]);
 
     assert!(other_requests(&mut fleet, now, 0) < 4.1);
 }
@@ -562,7 +570,7 @@
     let key = fleet.key("server-1").expect("known server");
     let load = sample(1, 9, 0).load;
     fleet.report(Time::from_millis(900), key, load);
-    fleet.hear_loads(now, &[sample(2, 16, 0)]);
+    fleet.apply_peer_loads(now, &[sample(2, 16, 0)]);
 
     let samples = fleet.samples(Time::from_millis(800), now);
 
@@ -578,7 +586,7 @@
     let keys = [0, 0, 1, 3].map(|number| fleet.key(&format!("server-{number}")).expect("known"));
     let now = Time::default();
     for key in keys {
-        fleet.begin(now, key, &wish(0.0));
+        fleet.begin(now, key, &criteria(0.0));
     }
     fleet.end(now, keys[0], ServerOutcome::Answered);
     fleet.end(now, keys[2], ServerOutcome::Full);
@@ -598,7 +606,7 @@
     let now = Time::from_millis(1_000);
     let refuse = |fleet: &mut Fleet, id| {
         let key = fleet.key(id).expect("known server");
-        fleet.begin(now, key, &wish(0.0));
+        fleet.begin(now, key, &criteria(0.0));
         fleet.end(now, key, ServerOutcome::Full);
     };
 
@@ -609,12 +617,12 @@
 
     assert!(one.spare > 0, "{one:?}");
     assert_eq!(both.spare, 0);
-    let opens = both.opens.expect("they may have room again");
+    let opens = both.available_at.expect("they may have room again");
     let later = fleet
         .room(opens, "engine", None)
         .expect("servers are there");
     assert!(opens > now && later.spare > 0, "{both:?} {later:?}");
-    assert!(one.places >= 2 * 16);
+    assert!(one.capacity >= 2 * 16);
     assert_eq!(fleet.room(now, "another", None), None);
 }
 
@@ -626,7 +634,7 @@
         .collect();
     let now = Time::from_millis(1_000);
     for &key in &keys {
-        fleet.begin(now, key, &wish(0.0));
+        fleet.begin(now, key, &criteria(0.0));
     }
     fleet.end(now, keys[0], ServerOutcome::Silent);
     for &key in &keys[1..] {
@@ -645,7 +653,7 @@
     let key = |fleet: &Fleet, number: u16| fleet.key(&format!("server-{number}"));
     for number in 1..4 {
         let full = key(&fleet, number).expect("known server");
-        fleet.begin(now, full, &wish(0.0));
+        fleet.begin(now, full, &criteria(0.0));
         fleet.end(now, full, ServerOutcome::Full);
     }
     let only = key(&fleet, 0).expect("known server");
@@ -655,7 +663,7 @@
         .room(now, "engine", Some(8.0))
         .is_some_and(|room| room.spare > 0)
     {
-        fleet.begin(now, only, &wish(0.0));
+        fleet.begin(now, only, &criteria(0.0));
         sent += 1;
     }
 
@@ -669,13 +677,13 @@
     let key = |fleet: &Fleet, id| fleet.key(id).expect("known server");
     let (silent, idle) = (key(&fleet, "server-0"), key(&fleet, "server-1"));
     let now = Time::from_millis(1_000);
-    fleet.begin(now, silent, &wish(0.0));
+    fleet.begin(now, silent, &criteria(0.0));
     let later = now + fleet.silence("engine") + Duration::from_millis(1);
 
     assert!(!fleet.is_lost(now, silent));
     assert!(fleet.is_lost(later, silent));
     assert!(!fleet.is_lost(later, idle));
-    fleet.drop_server("server-0");
+    fleet.remove_server("server-0");
     assert!(fleet.is_lost(now, silent));
 }
 
@@ -685,7 +693,7 @@
     let mut fleet = fleet_with_reports(8);
     report_all(&mut fleet, 8, 12, 20);
     let samples: Vec<_> = (1..8).map(|number| sample(number, 12, 50)).collect();
-    fleet.hear_loads(now, &samples);
+    fleet.apply_peer_loads(now, &samples);
     fleet
 }
 
@@ -720,7 +728,7 @@
 fn a_silent_server_is_reported_as_full() {
     let mut fleet = fleet_with_reports(2);
     let key = fleet.key("server-0").expect("known server");
-    fleet.begin(Time::default(), key, &wish(0.0));
+    fleet.begin(Time::default(), key, &criteria(0.0));
     let late = Time::default() + fleet.silence("engine") + Duration::from_millis(1);
 
     let samples = fleet.samples(Time::default(), late);
@@ -738,7 +746,7 @@
     let prompt = [part(1, 12_000), part(2, 800), part(3, 300)];
     let with = Criteria {
         parts: &prompt,
-        ..wish(0.0)
+        ..criteria(0.0)
     };
     let key = fleet.key("server-0").expect("known server");
 
@@ -760,10 +768,10 @@
     report_all(&mut fleet, 20, 4, 20);
     let now = Time::from_millis(5_000);
     let reports: Vec<_> = (0..20).map(|number| sample(number, 4, 50)).collect();
-    fleet.hear_loads(now, &reports);
-    fleet.hear_loads(now, &[sample(4, 0, 10)]);
+    fleet.apply_peer_loads(now, &reports);
+    fleet.apply_peer_loads(now, &[sample(4, 0, 10)]);
 
-    let picked = [0.1, 0.5, 0.9].map(|draw| fleet.pick(now, "engine", &wish(draw)));
+    let picked = [0.1, 0.5, 0.9].map(|draw| fleet.pick(now, "engine", &criteria(draw)));
 
     let idle = fleet.key("server-4");
     assert!(picked.iter().any(|key| *key != idle), "{picked:?}");
--- a/lib/tests/handoff.rs
+++ b/lib/tests/handoff.rs
@@ -27,14 +27,14 @@
 /// A turn with stored history, as a caller sends it.
 const TURN: RequestSize = RequestSize {
     body: 17_000,
-    kept: true,
-    handed: false,
+    has_history: true,
+    handed_over: false,
 };
 /// A tool call.
 const CALL: RequestSize = RequestSize {
     body: 300,
-    kept: false,
-    handed: false,
+    has_history: false,
+    handed_over: false,
 };
 /// Bytes that the link carries for a turn with its history.
 const MOVED: u64 = 130_000;
@@ -50,8 +50,10 @@
         centre: "a".into(),
         power,
     });
-    handoff.cost().observe_moved(MOVED);
-    handoff.cost().observe_stay(Duration::from_millis(600));
+    handoff.cost().observe_link_bytes(MOVED);
+    handoff
+        .cost()
+        .observe_time_in_flight(Duration::from_millis(600));
     handoff
 }
 
@@ -130,7 +132,7 @@
 
     let target = weak.choose(NOW, idle, CALL, &others, [0.1, 0.9]);
 
-    assert!(!weak.may_gain(idle, CALL));
+    assert!(!weak.is_worthwhile(idle, CALL));
     assert_eq!(target, None);
 }
 
@@ -318,7 +320,7 @@
     let mut weak = gateway(WEAK);
     let others = [other("strong", "a", STRONG)];
     let handed = RequestSize {
-        handed: true,
+        handed_over: true,
         ..TURN
     };
 
@@ -338,7 +340,7 @@
         centre: "a".into(),
         power: WEAK,
     });
-    second.cost().observe_moved(MOVED);
+    second.cost().observe_link_bytes(MOVED);
 
     let of_first = spread(&mut first, IDLE, &many, 300);
     let of_second = spread(&mut second, IDLE, &many, 300);
--- a/lib/tests/idle_limit.rs
+++ b/lib/tests/idle_limit.rs
@@ -16,8 +16,8 @@
 
     limit.note_break(now, millis(1_000), millis(3));
 
-    assert_eq!(limit.longest(now), millis(500));
-    assert_eq!(limit.longest(now + millis(21_000)), millis(4_000));
+    assert_eq!(limit.max_idle(now), millis(500));
+    assert_eq!(limit.max_idle(now + millis(21_000)), millis(4_000));
 }
 
 /// Servers with a mean response time of 26 ms lose one answer of thirty for four
@@ -31,7 +31,7 @@
         limit.note_break(now, millis(50), millis(after));
     }
 
-    assert_eq!(limit.longest(now), millis(4_000));
+    assert_eq!(limit.max_idle(now), millis(4_000));
 }
 
 #[test]
@@ -42,5 +42,5 @@
     limit.note_break(now, millis(50), millis(2));
     limit.note_break(now, millis(3_000), millis(2));
 
-    assert_eq!(limit.longest(now), millis(200));
+    assert_eq!(limit.max_idle(now), millis(200));
 }
--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -81,7 +81,7 @@
     let [_, high, middle, low] = number.to_be_bytes();
     Server {
         id: format!("server-{number}").into(),
-        born: None,
+        started_at: None,
         service: "engine".into(),
         address: ([10, high, middle, low], 8_000).into(),
         centre: "here".into(),
@@ -162,17 +162,21 @@
             if !self.times[number].is_due(at(now), duty, busy, reporters) {
                 continue;
             }
-            self.times[number].note(at(now), busy);
+            self.times[number].record(at(now), busy);
             let report = LoadReport {
                 services: self.known.uses(),
                 ..report(&self.name, 0)
             };
             if let Some(keeper) = keeper {
                 let sender = start(&self.name, 1);
-                let summary =
-                    keeper.take(at(now + ROUND_TRIP_MS), &sender, &report, &Fleet::default());
+                let summary = keeper.apply_report(
+                    at(now + ROUND_TRIP_MS),
+                    &sender,
+                    &report,
+                    &Fleet::default(),
+                );
                 let name = format!("keeper-{number}").into();
-                self.known.hear(&name, at(now), summary);
+                self.known.apply_summary(&name, at(now), summary);
             }
         }
     }
@@ -250,8 +254,8 @@
 /// answer, requested at `requested_at`, with 10 requests of another gateway.
 fn known_loads(requested_at: u64) -> LoadEstimator {
     let mut map = LoadMap::default();
-    map.take(at(0), &start("b", 1), &report("b", 10), &Fleet::default());
-    let summary = map.take(at(0), &start("a", 1), &report("a", 0), &Fleet::default());
+    map.apply_report(at(0), &start("b", 1), &report("b", 10), &Fleet::default());
+    let summary = map.apply_report(at(0), &start("a", 1), &report("a", 0), &Fleet::default());
     let mut known = LoadEstimator::default();
     let own = OwnUse {
         service: "engine".into(),
@@ -259,7 +263,7 @@
         counts: RequestCounts::default(),
     };
     known.set_own(at(0), [own]);
-    known.hear(&"keeper".into(), at(requested_at), summary);
+    known.apply_summary(&"keeper".into(), at(requested_at), summary);
     known
 }
 
@@ -299,9 +303,9 @@
     let mut known = known_loads(1_000);
     let mut young = LoadMap::default();
     let own = report("a", 0);
-    let summary = young.take(at(0), &start("a", 1), &own, &Fleet::default());
+    let summary = young.apply_report(at(0), &start("a", 1), &own, &Fleet::default());
 
-    known.hear(&"young keeper".into(), at(1_100), summary);
+    known.apply_summary(&"young keeper".into(), at(1_100), summary);
 
     let estimate = known.estimate(at(1_100), "engine");
     assert!(estimate.is_some_and(|estimate| estimate.running == 10.0));
@@ -311,10 +315,10 @@
 fn a_restarted_gateway_replaces_its_earlier_report() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
-    map.take(at(0), &start("b", 1), &report("b", 40), &none);
-    map.take(at(10), &start("b", 2), &report("b", 3), &none);
+    map.apply_report(at(0), &start("b", 1), &report("b", 40), &none);
+    map.apply_report(at(10), &start("b", 2), &report("b", 3), &none);
 
-    let summary = map.take(at(20), &start("a", 1), &report("a", 5), &none);
+    let summary = map.apply_report(at(20), &start("a", 1), &report("a", 5), &none);
 
     assert_eq!(others(&summary), 3);
     assert_eq!(summary.reporters, 2);
@@ -325,10 +329,10 @@
     let mut map = LoadMap::default();
     let fleet = fleet(1);
     let reported = sampled("b", vec![sample(0, 9)]);
-    map.take(at(0), &start("b", 1), &reported, &fleet);
-    map.take(at(10), &start("a", 1), &report("a", 0), &fleet);
+    map.apply_report(at(0), &start("b", 1), &reported, &fleet);
+    map.apply_report(at(10), &start("a", 1), &report("a", 0), &fleet);
 
-    let again = map.take(at(20), &start("a", 2), &report("a", 0), &fleet);
+    let again = map.apply_report(at(20), &start("a", 2), &report("a", 0), &fleet);
 
     assert_eq!(again.servers.len(), 1);
 }
@@ -337,10 +341,10 @@
 fn requests_of_a_stopped_gateway_no_longer_count() {
     let mut map = LoadMap::default();
     let none = Fleet::default();
-    map.take(at(0), &start("b", 1), &report("b", 40), &none);
+    map.apply_report(at(0), &start("b", 1), &report("b", 40), &none);
 
-    let before = map.take(at(1_000), &start("a", 1), &report("a", 5), &none);
-    let after = map.take(at(2_000), &start("a", 1), &report("a", 5), &none);
+    let before = map.apply_report(at(1_000), &start("a", 1), &report("a", 5), &none);
+    let after = map.apply_report(at(2_000), &start("a", 1), &report("a", 5), &none);
 
     assert_eq!(others(&before), 40);
     assert_eq!(others(&after), 0);
@@ -354,10 +358,10 @@
         let mut reported = report("b", 10);
         reported.services[0].ended = u32::MAX.wrapping_add(round * 20);
         reported.services[0].shed = round * 4;
-        map.take(at(u64::from(round) * 200), &start("b", 1), &reported, &none);
+        map.apply_report(at(u64::from(round) * 200), &start("b", 1), &reported, &none);
     }
 
-    let summary = map.take(at(3_900), &start("a", 1), &report("a", 0), &none);
+    let summary = map.apply_report(at(3_900), &start("a", 1), &report("a", 0), &none);
 
     let load = &summary.services[0];
     assert!((load.rate - 100.0).abs() < 5.0, "{load:?}");
@@ -369,7 +373,7 @@
     let mut map = LoadMap::default();
     let fleet = fleet(4);
     let take = |map: &mut LoadMap, now, node: &str, servers| {
-        let summary = map.take(at(now), &start(node, 1), &sampled(node, servers), &fleet);
+        let summary = map.apply_report(at(now), &start(node, 1), &sampled(node, servers), &fleet);
         summary.servers
     };
     take(&mut map, 0, "b", vec![sample(1, 2)]);
@@ -396,7 +400,7 @@
         let running = if number % 300 == 299 { 30 } else { 8 };
         let node = format!("gateway-{}", number % 100);
         let reported = sampled(&node, vec![sample(number, running)]);
-        map.take(
+        map.apply_report(
             at(u64::from(number / 24)),
             &start(&node, 1),
             &reported,
@@ -404,7 +408,7 @@
         );
     }
 
-    let summary = map.take(at(500), &start("a", 1), &report("a", 0), &fleet);
+    let summary = map.apply_report(at(500), &start("a", 1), &report("a", 0), &fleet);
 
     assert!(summary.servers.len() <= MAX_SAMPLES);
     let full = summary.servers.iter().filter(|s| s.load.running == 30);
@@ -428,7 +432,7 @@
             gateway,
             ..report(node, 0)
         };
-        map.take(at(now), &start(node, 1), &reported, &none)
+        map.apply_report(at(now), &start(node, 1), &reported, &none)
             .gateways
     };
     take(0, "weak", "here", 10, 20, 0);
@@ -450,10 +454,10 @@
         let node = format!("gateway-{number}");
         let mut reported = report(&node, 0);
         reported.gateway.address = Some(([10, 0, 0, 1], 80).into());
-        map.take(at(0), &start(&node, 1), &reported, &none);
+        map.apply_report(at(0), &start(&node, 1), &reported, &none);
     }
 
-    let summary = map.take(at(200), &start("a", 1), &report("a", 0), &none);
+    let summary = map.apply_report(at(200), &start("a", 1), &report("a", 0), &none);
 
     assert_eq!(summary.gateways.len(), 8);
 }
@@ -507,19 +511,19 @@
     };
 
     for now in [500, 500, 400, 90_000] {
-        map.take(at(now), &start("b", 1), &reported, &fleet);
-        map.take(at(now), &start("c", 1), &reported, &fleet);
+        map.apply_report(at(now), &start("b", 1), &reported, &fleet);
+        map.apply_report(at(now), &start("c", 1), &reported, &fleet);
     }
-    let summary = map.take(at(90_000), &start("a", 1), &report("a", 0), &fleet);
+    let summary = map.apply_report(at(90_000), &start("a", 1), &report("a", 0), &fleet);
 
     assert_eq!(others(&summary), u32::MAX);
     assert_eq!(summary.servers.len(), 1);
     assert_eq!(summary.gateways, []);
     let mut known = LoadEstimator::default();
-    known.hear(&"keeper".into(), at(0), summary.clone());
+    known.apply_summary(&"keeper".into(), at(0), summary.clone());
     let mut fleet = fleet;
-    fleet.hear_loads(at(0), &summary.servers);
-    fleet.hear_loads(at(0), &reported.servers);
+    fleet.apply_peer_loads(at(0), &summary.servers);
+    fleet.apply_peer_loads(at(0), &reported.servers);
     known.set_own(at(0), fleet.own_uses());
     let estimate = known.estimate(at(0), "engine").expect("it is known");
     assert!(estimate.utilization().is_finite());
@@ -529,7 +533,7 @@
 #[test]
 fn an_idle_gateway_reports_less_often() {
     let mut times = ReportSchedule::default();
-    times.note(at(0), false);
+    times.record(at(0), false);
 
     let idle = times.is_due(at(500), KeeperRole::Primary, false, 24);
     let busy = times.is_due(at(100), KeeperRole::Primary, true, 24);
@@ -541,7 +545,7 @@
 #[test]
 fn the_end_of_the_last_request_is_reported_soon() {
     let mut times = ReportSchedule::default();
-    times.note(at(0), true);
+    times.record(at(0), true);
 
     let due = times.is_due(at(100), KeeperRole::Primary, false, 24);
 
@@ -551,7 +555,7 @@
 #[test]
 fn many_gateways_report_less_often() {
     let mut times = ReportSchedule::default();
-    times.note(at(0), true);
+    times.record(at(0), true);
 
     let few = times.is_due(at(100), KeeperRole::Primary, true, 60);
     let many = times.is_due(at(100), KeeperRole::Primary, true, 810);
@@ -577,8 +581,10 @@
         places: vec![place],
         ..report("reader", 0)
     };
-    let mut take =
-        |millis, node, sent: &LoadReport| map.take(at(millis), &start(node, 1), sent, &none).places;
+    let mut take = |millis, node, sent: &LoadReport| {
+        map.apply_report(at(millis), &start(node, 1), sent, &none)
+            .places
+    };
     let idle = report("other", 0);
     take(0, "other", &idle);
 
@@ -604,10 +610,10 @@
             places: (0..1_000).map(|id| place(round * 1_000 + id)).collect(),
             ..report("reader", 0)
         };
-        map.take(at(round), &start("reader", 1), &reader, &none);
+        map.apply_report(at(round), &start("reader", 1), &reader, &none);
     }
 
-    let answer = map.take(at(100), &start("other", 1), &report("other", 0), &none);
+    let answer = map.apply_report(at(100), &start("other", 1), &report("other", 0), &none);
 
     assert!((1..=256).contains(&answer.places.len()));
 }
--- a/lib/tests/load_shed.rs
+++ b/lib/tests/load_shed.rs
@@ -55,7 +55,7 @@
         if next_timer <= now {
             // A timer waits behind all queued turns.
             let late = Duration::from_micros(waiting.len() as u64 * TURN_US);
-            shed.iter_mut().for_each(|shed| shed.observe(late));
+            shed.iter_mut().for_each(|shed| shed.observe_timer(late));
             next_timer = now + TIMER_US;
         }
         let Some(turn) = waiting.pop_front() else {
@@ -108,7 +108,7 @@
 #[test]
 fn a_gateway_with_spare_capacity_refuses_nobody() {
     let mut shed = LoadShedder::default();
-    (0..100).for_each(|_| shed.observe(Duration::from_millis(20)));
+    (0..100).for_each(|_| shed.observe_timer(Duration::from_millis(20)));
 
     let admitted = shed.admit(&Arc::from("new"), true, 0.0);
 
@@ -122,7 +122,7 @@
     (0..20).for_each(|_| shed.observe_answer(Duration::from_millis(300)));
     let during = shed.admit(&new, true, 0.5);
 
-    (0..100).for_each(|_| shed.observe(Duration::ZERO));
+    (0..100).for_each(|_| shed.observe_timer(Duration::ZERO));
     let afterwards = shed.admit(&new, true, 0.0);
 
     assert!(during.is_err());
@@ -134,7 +134,7 @@
     let mut shed = LoadShedder::default();
     let program: Arc<str> = Arc::from("begun");
     assert!(shed.admit(&program, true, 0.0).is_ok());
-    (0..100).for_each(|_| shed.observe(Duration::from_secs(1)));
+    (0..100).for_each(|_| shed.observe_timer(Duration::from_secs(1)));
 
     let begun = shed.admit(&program, true, 0.0);
     let other = shed.admit(&Arc::from("continued"), false, 0.0);
--- a/lib/tests/members.rs
+++ b/lib/tests/members.rs
@@ -63,7 +63,7 @@
 
     assert_eq!(members.boot(&peer.id), Some(Boot(7)));
     assert!(members.in_service(at(10), &peer.id));
-    assert!(!members.is_silent(at(5_000), &peer.id, Duration::from_secs(1)));
+    assert!(!members.has_no_link_for(at(5_000), &peer.id, Duration::from_secs(1)));
 }
 
 #[test]
@@ -173,7 +173,7 @@
 fn a_drained_server_gets_no_work_even_if_it_is_the_only_one() {
     let mut members = linked_sides(&["tool-1"]);
 
-    members.drained(&[NodeId::new("tool-1")]);
+    members.set_drained(&[NodeId::new("tool-1")]);
 
     assert!(!members.in_service(at(10_000), &NodeId::new("tool-1")));
 }
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -32,7 +32,7 @@
     let list = keepers(9);
     let timed_out = names(&[3]);
 
-    let removed = list.replaceable(&timed_out, &timed_out, FAULTS);
+    let removed = list.keeper_to_replace(&timed_out, &timed_out, FAULTS);
 
     assert_eq!(removed.map(|keeper| &*keeper.node), Some("keeper-3"));
 }
@@ -44,7 +44,7 @@
     let list = keepers(9);
     let unreachable = names(&[0, 1, 2, 3, 5, 6, 7, 8]);
 
-    let removed = list.replaceable(&names(&[3]), &unreachable, FAULTS);
+    let removed = list.keeper_to_replace(&names(&[3]), &unreachable, FAULTS);
 
     assert_eq!(removed, None);
 }
@@ -54,7 +54,7 @@
     let list = keepers(5);
     let timed_out = names(&[3]);
 
-    assert_eq!(list.replaceable(&timed_out, &timed_out, FAULTS), None);
+    assert_eq!(list.keeper_to_replace(&timed_out, &timed_out, FAULTS), None);
 }
 
 /// Returns a list from which the keepers `removed` were drained and removed.
@@ -75,7 +75,7 @@
 fn the_remaining_one_of_two_keepers_continues_alone() {
     let list = list_without(5, &[0, 1, 2]);
 
-    let next = list.without_lost(&names(&[3]), FAULTS);
+    let next = list.without_unreachable(&names(&[3]), FAULTS);
 
     let next = next.expect("one of two is no majority");
     assert_eq!(next.keepers.len(), 1);
@@ -87,12 +87,21 @@
 #[test]
 fn no_unreachable_keeper_is_dropped_while_a_majority_remains() {
     assert_matches!(
-        list_without(5, &[0]).without_lost(&names(&[1]), FAULTS),
+        list_without(5, &[0]).without_unreachable(&names(&[1]), FAULTS),
+        None
+    );
+    assert_matches!(
+        keepers(5).without_unreachable(&names(&[1, 2]), FAULTS),
+        None
+    );
+    assert_matches!(
+        keepers(9).without_unreachable(&names(&[1, 2]), FAULTS),
+        None
+    );
+    assert_matches!(
+        list_without(5, &[0, 1, 2]).without_unreachable(&[], FAULTS),
         None
     );
-    assert_matches!(keepers(5).without_lost(&names(&[1, 2]), FAULTS), None);
-    assert_matches!(keepers(9).without_lost(&names(&[1, 2]), FAULTS), None);
-    assert_matches!(list_without(5, &[0, 1, 2]).without_lost(&[], FAULTS), None);
 }
 
 #[test]
@@ -102,9 +111,9 @@
     let four = list_without(5, &[0]);
     let three = list_without(5, &[0, 1]);
 
-    assert_matches!(four.without_lost(&names(&[1, 2]), FAULTS), None);
-    assert_matches!(four.without_lost(&names(&[1, 2, 3]), FAULTS), None);
-    assert_matches!(three.without_lost(&names(&[2, 3]), FAULTS), None);
+    assert_matches!(four.without_unreachable(&names(&[1, 2]), FAULTS), None);
+    assert_matches!(four.without_unreachable(&names(&[1, 2, 3]), FAULTS), None);
+    assert_matches!(three.without_unreachable(&names(&[2, 3]), FAULTS), None);
 }
 
 #[test]
@@ -114,9 +123,9 @@
 
     let joining = list.join("new", address, FAULTS).expect("it is new");
 
-    assert_matches!(joining.without_lost(&names(&[3]), FAULTS), None);
+    assert_matches!(joining.without_unreachable(&names(&[3]), FAULTS), None);
     let unreachable = [&names(&[3])[..], &["new".into()]].concat();
-    assert_matches!(joining.without_lost(&unreachable, FAULTS), None);
+    assert_matches!(joining.without_unreachable(&unreachable, FAULTS), None);
 }
 
 #[test]
@@ -124,15 +133,17 @@
     // It was removed from a list of two while it was down; since then the other
     // one has stored turns alone.
     let list = list_without(5, &[0, 3, 4]);
-    let alone = list.without_lost(&names(&[1]), 1).expect("one is left");
+    let alone = list
+        .without_unreachable(&names(&[1]), 1)
+        .expect("one is left");
     let back = list.keepers[0].address;
     let back = alone.join("keeper-1", back, 1).expect("it is not listed");
     let never = |numbers: &[u16]| names(numbers).into_iter().collect();
 
-    assert!(!back.denies(&never(&[1]), 1));
-    assert!(back.denies(&never(&[2]), 1));
-    assert!(!keepers(5).denies(&never(&[0, 1]), 2));
-    assert!(keepers(5).denies(&never(&[0, 1, 2]), 2));
+    assert!(!back.rules_out(&never(&[1]), 1));
+    assert!(back.rules_out(&never(&[2]), 1));
+    assert!(!keepers(5).rules_out(&never(&[0, 1]), 2));
+    assert!(keepers(5).rules_out(&never(&[0, 1, 2]), 2));
 }
 
 #[test]
@@ -156,12 +167,12 @@
             let others = (0..usize::from(count)).filter(|at| !has.contains(at));
             let others: Vec<u16> = others.map(|at| at as u16).collect();
 
-            let denied = list.denies(&names(&others).into_iter().collect(), faults);
+            let denied = list.rules_out(&names(&others).into_iter().collect(), faults);
 
             assert!(!denied, "{count} keepers, {faults} lost, {others:?}");
         }
         let all: Vec<u16> = (0..count).collect();
-        assert!(list.denies(&names(&all).into_iter().collect(), faults));
+        assert!(list.rules_out(&names(&all).into_iter().collect(), faults));
     }
 }
 
@@ -170,9 +181,9 @@
     // Its watch of the store may have been interrupted like its links.
     let three = keepers(3);
 
-    assert!(three.is_cut_off(&names(&[1, 2]), 1));
-    assert!(!three.is_cut_off(&names(&[1]), 1));
-    assert!(!list_without(5, &[0, 1, 2]).is_cut_off(&names(&[3]), 1));
+    assert!(three.is_isolated(&names(&[1, 2]), 1));
+    assert!(!three.is_isolated(&names(&[1]), 1));
+    assert!(!list_without(5, &[0, 1, 2]).is_isolated(&names(&[3]), 1));
 }
 
 /// A deployment with hundreds of VMs: 24 keepers, of which five watch the
@@ -212,11 +223,13 @@
     let node = "new".into();
     requests.push(ListRequest::Join { node, address });
 
-    let next = list.with(&requests, FAULTS).expect("it is another list");
+    let next = list
+        .with_requests(&requests, FAULTS)
+        .expect("it is another list");
 
     assert_eq!(next.place(&name(4)), None, "the change has ended");
     assert!(next.is_changing(), "the new one is joining");
-    assert_matches!(next.with(&requests, FAULTS), None);
+    assert_matches!(next.with_requests(&requests, FAULTS), None);
 }
 
 #[test]
@@ -233,8 +246,8 @@
         moved: then.moved,
     };
 
-    assert_matches!(then.with(&[old], FAULTS), None);
-    assert_matches!(then.with(&[new], FAULTS), Some(_));
+    assert_matches!(then.with_requests(&[old], FAULTS), None);
+    assert_matches!(then.with_requests(&[new], FAULTS), Some(_));
 }
 
 #[test]
--- a/lib/tests/outlier.rs
+++ b/lib/tests/outlier.rs
@@ -24,7 +24,7 @@
     for number in 0..SERVERS {
         fleet.put(Server {
             id: format!("server-{number}").into(),
-            born: None,
+            started_at: None,
             service: Arc::from("tool"),
             address: ([10, 0, 0, 1], 8_000 + number).into(),
             centre: Arc::from("here"),
@@ -55,14 +55,14 @@
         for (end, key, outcome) in Vec::from_iter::<Vec<_>>(over) {
             fleet.end(end, key, outcome);
         }
-        let wish = Criteria {
+        let criteria = Criteria {
             centre: "here",
             draw: f64::from(number * 7 % 60) / 60.0,
             ..Criteria::default()
         };
-        let key = fleet.pick(now, "tool", &wish).expect("a server");
+        let key = fleet.pick(now, "tool", &criteria).expect("a server");
         let id = fleet.server(key).expect("known server").id.to_string();
-        let work = fleet.begin(now, key, &wish);
+        let work = fleet.begin(now, key, &criteria);
         running.push(match behaviour(&id, now) {
             Behaviour::Answer => {
                 fleet.plain_end(now, key, &work, WORK);
--- a/lib/tests/overload.rs
+++ b/lib/tests/overload.rs
@@ -165,7 +165,7 @@
             running.pop_first();
             ends.push_back(now);
             own[gateway] -= 1;
-            controls[gateway].0.ended(time, &service);
+            controls[gateway].0.turn_ended(time, &service);
             let program = &mut programs[id];
             program.turn += 1;
             if program.turn < TURNS {
@@ -207,7 +207,7 @@
             let arrival = TurnArrival {
                 program: &name,
                 first: program.turn == 0,
-                linked: true,
+                turns_linked: true,
                 service: &service,
                 rank: program.kind.0,
                 workspace: Some(&names[program.kind.1]),
@@ -396,7 +396,7 @@
     TurnArrival {
         program,
         first: true,
-        linked: true,
+        turns_linked: true,
         service,
         rank: 0,
         workspace: None,
@@ -416,7 +416,7 @@
         ..arrival(&new, &service)
     };
     let unlinked = TurnArrival {
-        linked: false,
+        turns_linked: false,
         ..arrival(&new, &service)
     };
 
@@ -465,7 +465,7 @@
     let (mut overload, mut shed) = (OverloadControl::default(), LoadShedder::default());
     let service: Arc<str> = "engines".into();
     let new: Arc<str> = "new".into();
-    (0..100).for_each(|_| shed.observe(Duration::from_secs(1)));
+    (0..100).for_each(|_| shed.observe_timer(Duration::from_secs(1)));
 
     let refused = overload.admit(Time::default(), &mut shed, &arrival(&new, &service), 0.5);
 
--- a/lib/tests/pace.rs
+++ b/lib/tests/pace.rs
@@ -37,7 +37,7 @@
 fn server(number: usize, centre: &str) -> Server {
     Server {
         id: format!("server-{number}").into(),
-        born: Some(1),
+        started_at: Some(1),
         service: Arc::from("tool"),
         address: ([10, 0, 0, 1], 8_000 + number as u16).into(),
         centre: Arc::from(centre),
@@ -189,12 +189,12 @@
                 self.report(gateway, key.expect("known server"));
             }
         }
-        let wish = Criteria {
+        let criteria = Criteria {
             centre: "here",
             draw: self.rng.random(),
             ..Criteria::default()
         };
-        let key = self.fleets[gateway].pick(self.now, "tool", &wish);
+        let key = self.fleets[gateway].pick(self.now, "tool", &criteria);
         let key = key.expect("a server");
         let number = self.number(key);
         let there = self.running.iter().filter(|one| one.key == key).count();
@@ -204,7 +204,7 @@
         let factor = (self.factor)(number, self.now) * self.interference(number);
         let took = Duration::from_secs_f64(usual * noise * factor / 1_000.0);
         let fleet = &mut self.fleets[gateway];
-        let work = fleet.begin(self.now, key, &wish);
+        let work = fleet.begin(self.now, key, &criteria);
         let wait = fleet.begin_wait(self.now, key, &work, Span::Whole);
         self.running.push(Running {
             gateway,
@@ -353,18 +353,18 @@
     simulation.rest(SECOND);
     let slow = simulation.fleets[0].key("server-0").expect("known server");
     let sent = simulation.now;
-    let wish = Criteria::default();
+    let criteria = Criteria::default();
     let others = ["server-1", "server-2", "server-3"];
     let others = others.map(|id| simulation.fleets[0].key(id).expect("known server"));
     let fleet = &mut simulation.fleets[0];
-    let work = fleet.begin(sent, slow, &wish);
+    let work = fleet.begin(sent, slow, &criteria);
     fleet.begin_wait(sent, slow, &work, Span::Whole);
     let overdue = sent + Duration::from_millis(250);
 
     let before_others = fleet.pace_summary(overdue, "tool").expect("paces count");
     let later = sent + Duration::from_millis(10);
     for key in others {
-        let work = fleet.begin(later, key, &wish);
+        let work = fleet.begin(later, key, &criteria);
         let wait = fleet.begin_wait(later, key, &work, Span::Whole);
         fleet.end_wait(key, wait.expect("paces count"));
         fleet.end(later, key, ServerOutcome::Answered);
@@ -473,12 +473,12 @@
         ..Load::default()
     };
     let pick = |fleet: &Fleet, millis| {
-        let wish = Criteria {
+        let criteria = Criteria {
             object: None,
             centre: "here",
             ..Criteria::default()
         };
-        fleet.pick(Time::from_millis(millis), "tool", &wish)
+        fleet.pick(Time::from_millis(millis), "tool", &criteria)
     };
     fleet.report(Time::default(), key, load);
 
@@ -525,13 +525,13 @@
     fleet.put(server(9, "other"));
 
     let picked = [0.0, 0.85, 0.95].map(|draw| {
-        let wish = Criteria {
+        let criteria = Criteria {
             tried: &known,
             centre: "here",
             draw,
             ..Criteria::default()
         };
-        fleet.pick(simulation.now, "tool", &wish)
+        fleet.pick(simulation.now, "tool", &criteria)
     });
 
     assert_eq!(picked, [fleet.key("server-9"); 3]);
@@ -546,7 +546,7 @@
         id: 1,
         tokens: 3_000,
     }];
-    let wish = Criteria {
+    let criteria = Criteria {
         parts: &parts,
         centre: "here",
         ..Criteria::default()
@@ -555,7 +555,7 @@
         let id = format!("server-{}", number % 2);
         let key = fleet.key(&id).expect("known server");
         let factor = if number % 2 == 0 { factor } else { 1.0 };
-        let work = fleet.begin(now, key, &wish);
+        let work = fleet.begin(now, key, &criteria);
         let wait = fleet.begin_wait(now, key, &work, Span::FirstEvent);
         let first = Duration::from_millis(20).mul_f64(factor);
         now = now + first;
@@ -604,7 +604,7 @@
         .expect("paces count");
 
     simulation.fleets[0].put(Server {
-        born: Some(2),
+        started_at: Some(2),
         ..server(0, "here")
     });
 
@@ -620,8 +620,8 @@
     let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, |_, _| 1.0);
     simulation.run(2 * SECOND, GAP);
     let key = simulation.fleets[0].key("server-0").expect("known server");
-    let wish = Criteria::default();
-    let work = simulation.fleets[0].begin(simulation.now, key, &wish);
+    let criteria = Criteria::default();
+    let work = simulation.fleets[0].begin(simulation.now, key, &criteria);
     let wait = simulation.fleets[0].begin_wait(simulation.now, key, &work, Span::Whole);
     assert!(wait.is_some());
 
@@ -661,13 +661,13 @@
     let mut simulation = Simulation::new(1, vec![fleet(4, true)], Report::Nothing, |_, _| 1.0);
     simulation.run(2 * SECOND, GAP);
     let key = simulation.fleets[0].key("server-0").expect("known server");
-    let wish = Criteria::default();
+    let criteria = Criteria::default();
 
     for _ in 0..3 {
-        let work = simulation.fleets[0].begin(simulation.now, key, &wish);
+        let work = simulation.fleets[0].begin(simulation.now, key, &criteria);
         let wait = simulation.fleets[0].begin_wait(simulation.now, key, &work, Span::Whole);
         let end = simulation.now + SECOND;
-        simulation.fleets[0].give_up(end, key, wait.expect("paces count"));
+        simulation.fleets[0].abandon_wait(end, key, wait.expect("paces count"));
         simulation.fleets[0].end(end, key, ServerOutcome::Abandoned);
     }
 
--- a/lib/tests/retry_budget.rs
+++ b/lib/tests/retry_budget.rs
@@ -29,7 +29,7 @@
         for left in (0..MAX_TRIES).rev() {
             tries += 1;
             if !fails(tries) {
-                budget.answered(now, &service);
+                budget.earn(now, &service);
                 break;
             }
             if left == 0 {
@@ -107,7 +107,7 @@
             now = now + Duration::from_millis(wait.into());
             if answer {
                 answers += 1;
-                budget.answered(now, &service);
+                budget.earn(now, &service);
             } else if budget.take(now, &service) {
                 retries += 1;
             }
--- a/lib/tests/retry_hint.rs
+++ b/lib/tests/retry_hint.rs
@@ -20,7 +20,7 @@
     let (program, session) = session();
     hints.set_ready(Time::from_millis(0), false);
 
-    let after = hints.after(Time::from_millis(500), &program, &session);
+    let after = hints.retry_after(Time::from_millis(500), &program, &session);
 
     assert!(after < Duration::from_millis(50), "{after:?}");
 }
@@ -35,8 +35,8 @@
     // Three sends of two tries each; only the wait between the two tries of a send
     // follows the retry hint.
     for _ in 0..3 {
-        now = now + hints.after(now, &program, &session);
-        hints.after(now, &program, &session);
+        now = now + hints.retry_after(now, &program, &session);
+        hints.retry_after(now, &program, &session);
         now = now + Duration::from_millis(RESEND_MS);
     }
 
@@ -50,10 +50,10 @@
 fn sessions_are_dropped_when_the_gateway_is_ready_again() {
     let mut hints = RetryHints::default();
     let (program, session) = session();
-    hints.after(Time::from_millis(0), &program, &session);
+    hints.retry_after(Time::from_millis(0), &program, &session);
 
     hints.set_ready(Time::from_millis(100), true);
-    let after = hints.after(Time::from_millis(9_000), &program, &session);
+    let after = hints.retry_after(Time::from_millis(9_000), &program, &session);
 
     assert!(after < Duration::from_millis(50), "{after:?}");
 }
--- a/lib/tests/service_time.rs
+++ b/lib/tests/service_time.rs
@@ -15,7 +15,7 @@
 
 impl Engine {
     fn first(&self, work: &RequestConditions, noise: f64) -> Duration {
-        let read = work.cold as f64 / self.per_ms;
+        let read = work.uncached as f64 / self.per_ms;
         let others = work.others * 2.0;
         Duration::from_secs_f64((10.0 + read + others) * noise / 1_000.0)
     }
@@ -26,9 +26,9 @@
     }
 }
 
-fn work(cold: u64, others: f64) -> RequestConditions {
+fn work(uncached: u64, others: f64) -> RequestConditions {
     RequestConditions {
-        cold,
+        uncached,
         others,
         slots: 48.0,
     }
@@ -124,7 +124,7 @@
     let mut times = ServiceTime::default();
     for number in 0..400_u64 {
         let work = RequestConditions {
-            cold: 0,
+            uncached: 0,
             others: (number % 6) as f64,
             slots: 6.0,
         };
@@ -133,7 +133,7 @@
     }
 
     let alone = times.plain_cost(&RequestConditions {
-        cold: 0,
+        uncached: 0,
         others: 0.0,
         slots: 6.0,
     });
--- a/lib/tests/speed.rs
+++ b/lib/tests/speed.rs
@@ -32,8 +32,8 @@
 fn measured(calls: u32, chunks: u32, secs: u32) -> Speed {
     let mut speed = Speed::default();
     for _ in 0..secs {
-        speed.fade();
-        speed.note(Duration::from_secs(1) * calls, chunks);
+        speed.decay();
+        speed.record(Duration::from_secs(1) * calls, chunks);
     }
     speed
 }
@@ -67,8 +67,8 @@
 fn a_hung_server_is_detected_before_its_calls_end() {
     let mut speed = measured(8, 320, 10);
     for _ in 0..10 {
-        speed.fade();
-        speed.note(Duration::from_secs(8), 0);
+        speed.decay();
+        speed.record(Duration::from_secs(8), 0);
     }
 
     assert!(speed.pace() > 10 * 25_000, "{}", speed.pace());
@@ -79,7 +79,7 @@
     let mut speed = measured(8, 32, 10);
     assert!(speed.pace() > 0);
     for _ in 0..20 {
-        speed.fade();
+        speed.decay();
     }
 
     assert_eq!(speed.pace(), 0);
@@ -97,7 +97,7 @@
 #[test]
 fn a_program_moves_away_from_its_cache_on_a_slow_server() {
     let mut slow = server(250_000);
-    slow.cached = 20_000;
+    slow.cached_tokens = 20_000;
     let servers = [slow, server(25_000), server(25_000)];
 
     assert_ne!(choose(&servers, 20_000), Some(0));
@@ -106,7 +106,7 @@
 #[test]
 fn small_differences_in_pace_do_not_move_a_program() {
     let mut warm = server(40_000);
-    warm.cached = 4_000;
+    warm.cached_tokens = 4_000;
     let servers = [warm, server(25_000), server(25_000)];
 
     assert_eq!(choose(&servers, 4_000), Some(0));
--- a/lib/tests/store_watch.rs
+++ b/lib/tests/store_watch.rs
@@ -27,7 +27,7 @@
 fn a_watch_that_an_outage_swallowed_ends_before_the_store_counts_as_calm() {
     for outage in [50, 1_000, 4_500, 9_000] {
         for sent in (0..=outage).step_by(50) {
-            let limit = watch(sent, DEFAULT_HOLD).limit();
+            let limit = watch(sent, DEFAULT_HOLD).deadline();
 
             let relied_on = Time::from_millis(outage) + STORE_RELIED_ON;
             assert!(
@@ -40,7 +40,7 @@
 
 #[test]
 fn the_timeout_allows_for_a_slow_store() {
-    let limit = watch(1_000, DEFAULT_HOLD).limit();
+    let limit = watch(1_000, DEFAULT_HOLD).deadline();
 
     assert!(limit >= Time::from_millis(1_000) + DEFAULT_HOLD + SLOW_ANSWER);
 }
@@ -52,20 +52,20 @@
     let mut watch = watch(0, MAX_HOLD);
     let reported = Time::from_millis(5_000);
 
-    watch.note_revision(reported, 8);
-    watch.note_revision(reported + IN_FORCE, 9);
+    watch.record_other_revision(reported, 8);
+    watch.record_other_revision(reported + IN_FORCE, 9);
 
     assert!(watch.is_behind());
-    assert!(watch.limit() <= reported + IN_FORCE / 2, "{watch:?}");
-    assert!(watch.limit() >= reported + SLOW_ANSWER, "{watch:?}");
+    assert!(watch.deadline() <= reported + IN_FORCE / 2, "{watch:?}");
+    assert!(watch.deadline() >= reported + SLOW_ANSWER, "{watch:?}");
 }
 
 #[test]
 fn the_timeout_is_not_shortened_while_no_process_reports_a_later_revision() {
     let mut watch = watch(0, MAX_HOLD);
 
-    watch.note_revision(Time::from_millis(5_000), 7);
+    watch.record_other_revision(Time::from_millis(5_000), 7);
 
     assert!(!watch.is_behind());
-    assert!(watch.limit() >= Time::from_millis(0) + MAX_HOLD);
+    assert!(watch.deadline() >= Time::from_millis(0) + MAX_HOLD);
 }
--- a/lib/tests/turn_world/mod.rs
+++ b/lib/tests/turn_world/mod.rs
@@ -1,5 +1,5 @@
 //! Simulates keepers with disks, and turns that start and end on them, around the
-//! logic of `opening`, `ledger` and `membership`.
+//! logic of `turn_admission`, `ledger` and `membership`.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -153,7 +153,7 @@
     fn view(&self, begin: &Begin) -> ReplicaView {
         ReplicaView {
             whole: self.complete,
-            shares: self.ledger.shares(&begin.program, &begin.turn),
+            usage: self.ledger.usage(&begin.program, &begin.turn),
             previous: Presence::Never,
         }
     }
@@ -413,7 +413,7 @@
                 let view = keeper.view(&self.turns[envelope.turn].begin);
                 self.reply(&envelope, Body::Seen(view));
             }
-            Body::End(None, finish) if !keeper.ledger.has_begun(&finish.turn) => {
+            Body::End(None, finish) if !keeper.ledger.has_start(&finish.turn) => {
                 self.reply(&envelope, Body::StartMissing);
             }
             Body::End(begin, finish) => {
@@ -683,7 +683,7 @@
         }
         let lost_data = own.standing == MemberState::Member && !keeper.complete;
         if lost_data && !keeper.renewed {
-            self.list = list.renew();
+            self.list = list.with_new_epoch();
             self.keepers.get_mut(&name).expect("it was named").renewed = true;
             return;
         }
@@ -698,7 +698,7 @@
         let missing = others
             .filter(|k| !copied.contains(&(list.moved, k.node.clone())))
             .count();
-        if missing > list.may_miss(&name, lost_data, self.faults) {
+        if missing > list.max_missing(&name, lost_data, self.faults) {
             return;
         }
         let keeper = self.keepers.get_mut(&name).expect("it was named");
@@ -784,8 +784,9 @@
         for turn in &self.committed {
             let never = list.keepers.iter().filter(|listed| {
                 let keeper = self.keepers.get(&listed.node);
-                keeper
-                    .is_some_and(|keeper| keeper.up && keeper.complete && !keeper.ledger.has(turn))
+                keeper.is_some_and(|keeper| {
+                    keeper.up && keeper.complete && !keeper.ledger.has_complete(turn)
+                })
             });
             let never = never.count();
             if never > 0 && never + self.faults >= list.keepers.len() {
--- a/lib/tests/urgency.rs
+++ b/lib/tests/urgency.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use limpetferry_lib::urgency::QUEUE_RANKS;
+use limpetferry_lib::urgency::engine_rank;
 use limpetferry_lib::urgency::queue_rank;
-use limpetferry_lib::urgency::rank;
 
 /// Requests that the engines run at once.
 const SLOTS: usize = 40;
@@ -88,7 +88,7 @@
 
 #[test]
 fn programs_after_a_burst_are_in_time_if_late_ones_come_last() {
-    let (burst, after) = simulate(|left| rank(0, Some(left)));
+    let (burst, after) = simulate(|left| engine_rank(0, Some(left)));
     let (burst_alike, after_alike) = simulate(|_| 0);
 
     println!("in the burst: {burst} of 100, {burst_alike} without ranks");
@@ -102,12 +102,12 @@
     let left = Some(Duration::from_millis(1));
     let over = Some(Duration::ZERO);
     let order = [
-        rank(0, left),
-        rank(1, left),
-        rank(9, left),
-        rank(0, over),
-        rank(1, over),
-        rank(9, over),
+        engine_rank(0, left),
+        engine_rank(1, left),
+        engine_rank(9, left),
+        engine_rank(0, over),
+        engine_rank(1, over),
+        engine_rank(9, over),
     ];
     assert!(order.is_sorted_by(|a, b| a < b), "{order:?}");
     assert!(order[5] <= 9, "ranks end at 9");
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_request_of_no_program_is_in_time() {
-    assert_eq!(rank(1, None), rank(1, Some(Duration::MAX)));
+    assert_eq!(engine_rank(1, None), engine_rank(1, Some(Duration::MAX)));
 }
 
 #[test]
--- a/net/src/allowances.rs
+++ b/net/src/allowances.rs
@@ -185,7 +185,7 @@
                 Some(KeeperDecision::Full(after)) => (Shortage::Requests, after),
                 Some(KeeperDecision::Closed { turn, .. }) => (Shortage::Programs, turn),
                 Some(KeeperDecision::Go) | None => {
-                    self.spending().allow(self.clock.now(), counted);
+                    self.spending().record_permitted(self.clock.now(), counted);
                     return Ok(());
                 }
             };
@@ -196,7 +196,7 @@
             });
         }
         let now = self.clock.now();
-        let alone = self.spending().allow_alone(now, counted);
+        let alone = self.spending().decide_without_keeper(now, counted);
         alone.map_err(Unaffordable::Unknown)
     }
 
@@ -209,7 +209,7 @@
             let since = silent.get(node);
             since.is_some_and(|since| now.since(*since) < SILENT_WAIT)
         };
-        let order = keepers.in_charge(workspace);
+        let order = keepers.ranked_for(workspace);
         let order = order.into_iter().filter(|keeper| !is_silent(&keeper.node));
         let order = order.filter_map(|keeper| {
             let boot = self.replicas.counting(&keeper.node)?;
@@ -218,7 +218,8 @@
         });
         let order: Vec<ProcessStart> = order.collect();
         drop(silent);
-        self.spending().in_charge(now, &order, self.faults)
+        self.spending()
+            .responsible_keepers(now, &order, self.faults)
     }
 
     fn tell(
@@ -228,7 +229,7 @@
         wants: Option<&Counted>,
     ) -> Option<UsageReport> {
         let now = self.clock.now();
-        self.spending().tell(now, workspace, keeper, wants)
+        self.spending().report(now, workspace, keeper, wants)
     }
 
     /// Tells a keeper what was sent, and takes what it answers; `None` if it
@@ -253,7 +254,7 @@
         let now = self.clock.now();
         let mut spending = self.spending();
         for (name, reply) in names.iter().zip(&replies) {
-            spending.hear(now, keeper, name, reply);
+            spending.apply_reply(now, keeper, name, reply);
         }
         Some(replies)
     }
@@ -263,11 +264,11 @@
         let mut silent = self.silent.lock().expect("no panic while locked");
         silent.insert(keeper.clone(), now);
         drop(silent);
-        self.spending().unheard(workspace);
+        self.spending().record_no_reply(workspace);
     }
 
     fn give_back(&self, counted: &Counted) {
-        self.spending().give_back(self.clock.now(), counted);
+        self.spending().uncount(self.clock.now(), counted);
     }
 
     /// Tells keepers what was sent without asking, for as long as the process
@@ -280,13 +281,13 @@
             let mut untold: HashMap<ProcessStart, Vec<Arc<str>>> = HashMap::new();
             let mut copies: HashMap<ProcessStart, Vec<UsageReport>> = HashMap::new();
             for workspace in active {
-                let ResponsibleKeepers { keeper, others } = self.keepers(&workspace);
-                if let Some(copy) = self.spending().copy(now, &workspace) {
-                    for other in others {
+                let ResponsibleKeepers { keeper, standbys } = self.keepers(&workspace);
+                if let Some(copy) = self.spending().standby_report(now, &workspace) {
+                    for other in standbys {
                         copies.entry(other).or_default().push(copy.clone());
                     }
                 }
-                let lacks = |keeper: &_| self.spending().is_untold(&workspace, keeper);
+                let lacks = |keeper: &_| self.spending().has_unreported(&workspace, keeper);
                 if let Some(keeper) = keeper.filter(lacks) {
                     untold.entry(keeper).or_default().push(workspace);
                 }
--- a/net/src/attempt.rs
+++ b/net/src/attempt.rs
@@ -133,7 +133,7 @@
         let now = self.gateway.clock.now();
         let mut known = self.gateway.site.known();
         let place = known.fleet.place(self.key, part)?;
-        known.fleet.take_places(now, &[place]);
+        known.fleet.apply_places(now, &[place]);
         Some(place)
     }
 
@@ -151,7 +151,7 @@
             let now = self.gateway.clock.now();
             let mut known = self.gateway.site.known();
             if let Some(wait) = self.wait.take() {
-                known.fleet.give_up(now, self.key, wait);
+                known.fleet.abandon_wait(now, self.key, wait);
             }
             known.fleet.end(now, self.key, outcome);
             // The permit locks the queue, which locks the fleet.
@@ -224,7 +224,7 @@
             parts: &self.call.parts,
             object: self.call.object.as_deref(),
             tried,
-            connected: None,
+            idle_connections: None,
             centre: &self.gateway.centre,
             draw: rand::random(),
         }
@@ -237,7 +237,7 @@
             let known = self.gateway.site.known();
             let warm = self.gateway.pool.warm(self.now(), self.runs_once());
             let wish = Criteria {
-                connected: Some(&warm),
+                idle_connections: Some(&warm),
                 ..self.wish(tried)
             };
             known.fleet.pick(self.now(), &self.service, &wish)?
@@ -248,7 +248,7 @@
     /// Notes that the request goes to a server; `None` if it takes none.
     fn lease(&self, key: ServerKey) -> Option<Lease> {
         let mut known = self.gateway.site.known();
-        if !known.fleet.takes(key) {
+        if !known.fleet.is_ready(key) {
             return None;
         }
         let server = known.fleet.server(key)?.id.clone();
@@ -349,15 +349,15 @@
         if !dispatch.is_on() {
             return Ok(None);
         }
-        let usual = self.gateway.site.known().fleet.usual(&self.service);
-        let work = usual.min(self.route.target);
+        let usual = self.gateway.site.known().fleet.mean_answer(&self.service);
+        let work = usual.min(self.route.latency_target);
         let rank = urgency::queue_rank(self.priority(), self.remains());
         let asked = self.now();
         let waiting = QueuedRequest {
             workspace: self.caller.workspace().map(|one| one.name.clone()),
             rank,
-            since: self.start,
-            until: asked + self.left().saturating_sub(work + LEAST_LEFT),
+            arrived_at: self.start,
+            send_by: asked + self.left().saturating_sub(work + LEAST_LEFT),
             work,
             bytes: self.body.len(),
         };
@@ -367,7 +367,7 @@
             let refused = &self.gateway.meters.queue_refused;
             refused.with_label_values(&[rank.to_string()]).inc();
             if runs == 0 {
-                return Refusal::later(why.after(), why.to_string());
+                return Refusal::later(why.retry_after(), why.to_string());
             }
             Refusal::new(
                 StatusCode::BAD_GATEWAY,
@@ -461,9 +461,9 @@
     /// Returns whether a request that may have run `runs` times may run again.
     fn may_repeat(&self, runs: u32) -> bool {
         match self.route.kind {
-            Kind::Idempotent => runs < self.route.attempts,
+            Kind::Idempotent => runs < self.route.max_attempts,
             Kind::Once => false,
-            Kind::Stream { resumable } => resumable && runs <= self.route.attempts,
+            Kind::Stream { resumable } => resumable && runs <= self.route.max_attempts,
         }
     }
 
@@ -631,7 +631,7 @@
     /// Returns the rank of the request among those of its server.
     fn urgency(&self) -> Option<u8> {
         let engine = matches!(self.route.kind, Kind::Stream { .. });
-        engine.then(|| urgency::rank(self.priority(), self.remains()))
+        engine.then(|| urgency::engine_rank(self.priority(), self.remains()))
     }
 
     /// Returns what remains of its program's time.
--- a/net/src/callers.rs
+++ b/net/src/callers.rs
@@ -125,9 +125,9 @@
     let limit = handle.settings.limits.body;
     let body = read_body(body, limit).await.map_err(|error| match error {
         BodyError::TooLong => {
-            Refusal::with(Code::TooLarge, format!("the body may have {limit} bytes"))
+            Refusal::with_detail(Code::TooLarge, format!("the body may have {limit} bytes"))
         }
-        BodyError::Broken => Refusal::with(Code::BadRequest, error.to_string()),
+        BodyError::Broken => Refusal::with_detail(Code::BadRequest, error.to_string()),
     })?;
     let path = head.uri.path().to_owned();
     let with_query = head
@@ -156,11 +156,11 @@
         let ask = match head.method {
             Method::GET => Ask::Read(scope.of(program)),
             Method::DELETE => Ask::End(scope.of(program)),
-            _ => return Err(Refusal::with(Code::BadRequest, "use GET or DELETE")),
+            _ => return Err(Refusal::with_detail(Code::BadRequest, "use GET or DELETE")),
         };
         return program_answer(handle, ask).await;
     }
-    Err(Refusal::with(
+    Err(Refusal::with_detail(
         Code::BadRequest,
         "no such path; see docs/callers.md",
     ))
@@ -192,8 +192,9 @@
         return Ok(None);
     };
     let text = value.to_str();
-    text.map(Some)
-        .map_err(|_| Refusal::with(Code::BadRequest, format!("header {name} is no plain text")))
+    text.map(Some).map_err(|_| {
+        Refusal::with_detail(Code::BadRequest, format!("header {name} is no plain text"))
+    })
 }
 
 fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, Refusal> {
@@ -201,7 +202,7 @@
         return Ok(None);
     };
     text.parse().map(Some).map_err(|_| {
-        Refusal::with(
+        Refusal::with_detail(
             Code::BadRequest,
             format!("header {name} is no whole number"),
         )
@@ -210,7 +211,7 @@
 
 fn program_id(text: &str) -> Result<ProgramId, Refusal> {
     text.parse()
-        .map_err(|error| Refusal::with(Code::BadRequest, format!("{error}")))
+        .map_err(|error| Refusal::with_detail(Code::BadRequest, format!("{error}")))
 }
 
 fn urgency(headers: &HeaderMap) -> Result<Urgency, Refusal> {
@@ -220,7 +221,7 @@
         Some("background") => Ok(Urgency::Background),
         Some(_) => {
             let detail = format!("header {URGENCY} is urgent, normal or background");
-            Err(Refusal::with(Code::BadRequest, detail))
+            Err(Refusal::with_detail(Code::BadRequest, detail))
         }
     }
 }
@@ -242,7 +243,7 @@
         let key = text(headers, KEY)?;
         if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
             let detail = format!("header {KEY} has 1 to {MAX_KEY} characters");
-            return Err(Refusal::with(Code::BadRequest, detail));
+            return Err(Refusal::with_detail(Code::BadRequest, detail));
         }
         let place = match program {
             Some(program) => program.to_string(),
@@ -269,7 +270,9 @@
         let parts = serde_json::json!([what.target, what.supply, what.turns, what.tokens]);
         let digest = Digest::of(parts.to_string().as_bytes()).then(&what.body);
         Box::new(CallRequest {
-            program: self.program.unwrap_or(ProgramId::of_single(self.call)),
+            program: self
+                .program
+                .unwrap_or(ProgramId::for_single_call(self.call)),
             call: self.call,
             number: self.number,
             keyed: self.keyed,
@@ -306,13 +309,13 @@
         Some(_) => {
             let detail =
                 format!("header {HISTORY} is full or append, and only append takes {BASE}");
-            Err(Refusal::with(Code::BadRequest, detail))
+            Err(Refusal::with_detail(Code::BadRequest, detail))
         }
     }
 }
 
 fn digest(text: &str) -> Result<Digest, Refusal> {
-    let refuse = || Refusal::with(Code::BadRequest, format!("header {BASE} is no digest"));
+    let refuse = || Refusal::with_detail(Code::BadRequest, format!("header {BASE} is no digest"));
     if text.len() != 32 || !text.is_ascii() {
         return Err(refuse());
     }
@@ -324,7 +327,7 @@
 }
 
 fn what_chat(scope: &Scope, headers: &HeaderMap, body: &[u8]) -> Result<(What, bool), Refusal> {
-    let bad = |detail: &str| Refusal::with(Code::BadRequest, detail);
+    let bad = |detail: &str| Refusal::with_detail(Code::BadRequest, detail);
     let mut body: Value = serde_json::from_slice(body).map_err(|_| bad("the body is no JSON"))?;
     let fields = body
         .as_object_mut()
@@ -465,7 +468,7 @@
     }
     let mut assembler = Assembler::default();
     assembler.push(&bytes);
-    let mut response = json_answer(200, &assembler.whole(&head.call.to_string()));
+    let mut response = json_answer(200, &assembler.completion(&head.call.to_string()));
     add_headers(&mut response, &ending);
     Ok(response)
 }
@@ -560,7 +563,7 @@
 async fn open(handle: &EntryHandle, scope: &Scope, body: &[u8]) -> Result<Response<Body>, Refusal> {
     let body = if body.is_empty() { b"{}" } else { body };
     let body: OpenBody = serde_json::from_slice(body)
-        .map_err(|error| Refusal::with(Code::BadRequest, error.to_string()))?;
+        .map_err(|error| Refusal::with_detail(Code::BadRequest, error.to_string()))?;
     let parent = body.parent.as_deref().map(program_id).transpose()?;
     let most = scope.rules.program.amount();
     let limit = Amount {
--- a/net/src/dispatch.rs
+++ b/net/src/dispatch.rs
@@ -222,7 +222,7 @@
         service: &Arc<str>,
         waiting: QueuedRequest,
     ) -> Result<Permit, QueueRefusal> {
-        let left = waiting.until.since(self.clock.now());
+        let left = waiting.send_by.since(self.clock.now());
         let (sender, verdict) = async_channel::bounded(1);
         let (key, after) = match self.arrive(service, waiting, sender)? {
             Arrival::Goes(permit) => return Ok(permit),
@@ -236,7 +236,7 @@
         self.pump(service);
         match within(left, verdict.recv()).await {
             Some(Ok(verdict)) => verdict,
-            Some(Err(_)) | None => Err(QueueRefusal::Late { after }),
+            Some(Err(_)) | None => Err(QueueRefusal::Late { retry_after: after }),
         }
     }
 
@@ -259,10 +259,10 @@
         }
         let rate = queue.limit.rate(now);
         let pushed = queue.queue.push(now, waiting, rate, sender)?;
-        let after = queue.queue.come_back(rate);
+        let after = queue.queue.retry_after(rate);
         drop(services);
         for displaced in pushed.displaced {
-            tell(&displaced, Err(QueueRefusal::Full { after }));
+            tell(&displaced, Err(QueueRefusal::Full { retry_after: after }));
         }
         let key = pushed.key;
         Ok(Arrival::Waits { key, after })
@@ -310,7 +310,7 @@
     fn leave(self: &Arc<Self>, permit: &Permit) {
         let now = self.clock.now();
         let room = self.site.known().fleet.room(now, &permit.service, None);
-        let places = room.map_or(0, |room| room.places);
+        let places = room.map_or(0, |room| room.capacity);
         let mut services = self.services();
         let queue = self.queue(&mut services, &permit.service);
         if let Some(key) = permit.server
@@ -326,7 +326,7 @@
             .limit
             .end(now, permit.since, permit.outcome, places, wait);
         if queue.queue.is_empty() {
-            queue.limit.relax(now);
+            queue.limit.lift_if_idle(now);
             return;
         }
         drop(services);
@@ -345,9 +345,9 @@
         let lost = queue.lost(now, &known.fleet);
         let silence = known.fleet.silence(service);
         drop(known);
-        let after = queue.queue.come_back(queue.limit.rate(now));
+        let after = queue.queue.retry_after(queue.limit.rate(now));
         for late in queue.queue.expire(now) {
-            told.push((late, Err(QueueRefusal::Late { after })));
+            told.push((late, Err(QueueRefusal::Late { retry_after: after })));
         }
         while queue.is_open(room, lost)
             && let Some(next) = queue.queue.pop(now)
@@ -355,7 +355,7 @@
             queue.limit.begin();
             told.push((next, Ok(self.permit(now, service))));
         }
-        let opens = room.and_then(|room| room.opens);
+        let opens = room.and_then(|room| room.available_at);
         // A server that dies says nothing; its requests are lost after a while.
         let due = opens.unwrap_or(now + silence);
         let planned = queue.timer.filter(|&due| due > now);
--- a/net/src/entry_node.rs
+++ b/net/src/entry_node.rs
@@ -316,15 +316,15 @@
         let alone = !self.entry.members().iter().any(|member| {
             member.node.role == Role::Entry && member.boot().is_some() && !member.is_leaving()
         });
-        let given = self.entry.shards_held() == 0 || alone;
+        let given = self.entry.shards_owned() == 0 || alone;
         if given && self.entry.is_idle() {
             return true;
         }
         let over = since.elapsed() >= limit;
         if over {
             let note = LogEvent::new("stop_cut_short")
-                .with("callers", self.entry.front().len())
-                .with("shards", self.entry.shards_held());
+                .with("callers", self.entry.callers().len())
+                .with("shards", self.entry.shards_owned());
             crate::log::note(self.handle.settings.common.node.as_str(), &note);
         }
         over
@@ -505,12 +505,14 @@
 
     fn measure(&self) {
         let metrics = &self.handle.metrics;
-        metrics.waiting.set(self.entry.front().len() as i64);
-        metrics.calls.set(self.entry.owner().calls_open() as i64);
+        metrics.waiting.set(self.entry.callers().len() as i64);
+        metrics
+            .calls
+            .set(self.entry.owner().open_call_count() as i64);
         metrics
             .programs
-            .set(self.entry.owner().programs_open() as i64);
-        metrics.shards.set(self.entry.shards_held() as i64);
+            .set(self.entry.owner().program_count() as i64);
+        metrics.shards.set(self.entry.shards_owned() as i64);
         metrics.kept.set(self.entry.owner().shards_kept() as i64);
         metrics.links.set(self.links.len() as i64);
         metrics.store_calls.set(self.handle.store.calls() as i64);
--- a/net/src/flow.rs
+++ b/net/src/flow.rs
@@ -186,7 +186,7 @@
             }
             let failure = match within(self.job.left(), self.body.frame()).await {
                 None => Failure::Late,
-                Some(None) if self.splitter.is_midway() => {
+                Some(None) if self.splitter.has_partial_event() => {
                     Failure::Unknown("the stream ended within an event".to_owned())
                 }
                 Some(None) => return Ok(Next::End),
@@ -195,7 +195,7 @@
                     if let Some(bytes) = frame.data_ref() {
                         self.splitter.push(bytes);
                     }
-                    if !self.splitter.is_overlong() {
+                    if !self.splitter.exceeds_max_size() {
                         continue;
                     }
                     Failure::Unknown("an event has no end".to_owned())
