--- a/net/src/gateway.rs
+++ b/net/src/gateway.rs
@@ -146,9 +146,9 @@
     /// # Panics
     ///
     /// Panics if another thread panicked while it held the lock.
-    pub fn come_back(&self, program: &Program) -> Duration {
+    pub fn retry_after(&self, program: &Program) -> Duration {
         let now = self.clock.now();
-        self.hints().after(now, &program.id, &program.line)
+        self.hints().retry_after(now, &program.id, &program.session)
     }
 
     /// Takes a turn of a program, or says why the program is not begun.
@@ -192,7 +192,7 @@
     pub fn earn_retry(&self, service: &Arc<str>) {
         if let Some(retries) = &self.retries {
             let mut retries = retries.lock().expect("no panic while locked");
-            retries.answered(self.clock.now(), service);
+            retries.earn(self.clock.now(), service);
         }
     }
 
@@ -252,9 +252,9 @@
     /// # Panics
     ///
     /// Panics if another thread panicked while it held the lock.
-    pub fn observe_moved(&self, bytes: u64) {
+    pub fn observe_link_bytes(&self, bytes: u64) {
         if let Some(handoffs) = &self.handoffs {
-            handoffs.observe_moved(bytes);
+            handoffs.observe_link_bytes(bytes);
         }
     }
 
@@ -271,15 +271,15 @@
             smol::Timer::after(LATENESS_EVERY).await;
             let late = self.clock.now().since(due);
             let mut shed = self.shed.lock().expect("no panic while locked");
-            shed.observe(late);
+            shed.observe_timer(late);
             self.meters.lag.set(shed.lateness().as_millis() as i64);
             self.loads.set_late(shed.lateness());
             self.loads.set_address(self.handoff_address());
             self.loads.set_queues(&self.dispatch.states());
-            if let Some(behind) = shed.change() {
+            if let Some(behind) = shed.update_behind() {
                 let note = LogEvent::new(if behind { "behind" } else { "caught_up" })
-                    .with("timers_ms", shed.timers().as_millis())
-                    .with("answers_ms", shed.answers().as_millis());
+                    .with("timers_ms", shed.timer_lateness().as_millis())
+                    .with("answers_ms", shed.answer_time().as_millis());
                 self.note(note);
             }
         }
@@ -435,9 +435,9 @@
     let limits = Limits::default();
     let bounds = Bounds {
         connections: settings.connections,
-        head: limits.head,
+        head: limits.max_head_bytes,
         // Callers use connections that were idle for up to four fifths of it.
-        wait: limits.idle_wait,
+        wait: limits.idle_timeout,
         flush: FLUSH_WAIT,
     };
     let serving = smol::spawn(http::serve(
--- a/net/src/gateway/notes.rs
+++ b/net/src/gateway/notes.rs
@@ -95,7 +95,7 @@
             && job.is_linked_turn()
             && let Some(mut overload) = self.overload()
         {
-            overload.ended(now, &job.service);
+            overload.turn_ended(now, &job.service);
         }
         let note = self
             .about(LogEvent::new("answered"), job)
@@ -152,7 +152,7 @@
         self.note(note.with("held_bytes", self.held.bytes()));
         let learned: Vec<LogEvent> = {
             let known = self.site.known();
-            let all = known.fleet.learned();
+            let all = known.fleet.service_times();
             all.map(|(service, times)| {
                 let note = LogEvent::new("learned")
                     .with("service", service)
--- a/net/src/gateway_settings.rs
+++ b/net/src/gateway_settings.rs
@@ -94,7 +94,7 @@
                 "give the IP address that other VMs reach, not 0.0.0.0",
             ));
         }
-        if !self.allowances.is_sound() {
+        if !self.allowances.is_valid() {
             faults.push(Fault::new(
                 "common.allowances",
                 "give window_s above zero, overrun and slack of zero or more, handed_out from 0 to 1",
--- a/net/src/handoff.rs
+++ b/net/src/handoff.rs
@@ -73,8 +73,8 @@
     fn offer(&self) -> RequestSize {
         RequestSize {
             body: self.size,
-            kept: self.route.retention.is_some(),
-            handed: self.handed,
+            has_history: self.route.retention.is_some(),
+            handed_over: self.handed,
         }
     }
 }
@@ -90,7 +90,7 @@
     fn drop(&mut self) {
         self.handoffs.serving.fetch_sub(1, Ordering::Relaxed);
         let stay = self.gateway.clock.now().since(self.start);
-        self.handoffs.decision().cost().observe_stay(stay);
+        self.handoffs.decision().cost().observe_time_in_flight(stay);
     }
 }
 
@@ -140,8 +140,8 @@
     /// # Panics
     ///
     /// Panics if another thread panicked while it held the lock.
-    pub fn observe_moved(&self, bytes: u64) {
-        self.decision().cost().observe_moved(bytes);
+    pub fn observe_link_bytes(&self, bytes: u64) {
+        self.decision().cost().observe_link_bytes(bytes);
     }
 
     /// Closes connections that were idle for too long.
@@ -159,7 +159,7 @@
             requests: self.serving(),
         };
         let offer = arrival.offer();
-        if !self.decision().may_gain(own, offer) {
+        if !self.decision().is_worthwhile(own, offer) {
             return None;
         }
         let now = gateway.clock.now();
@@ -186,7 +186,7 @@
         let made = self.links.connect(gateway.clock.now(), address).await;
         let mut decision = self.decision();
         match made {
-            Ok(way) => decision.observe_way(node, way),
+            Ok(way) => decision.observe_round_trip(node, way),
             Err(error) => {
                 decision.end(gateway.clock.now(), node, HopOutcome::Failed);
                 drop(decision);
--- a/net/src/intake.rs
+++ b/net/src/intake.rs
@@ -97,7 +97,7 @@
     if let Some(workspace) = found {
         return Ok(Caller::Workspace(workspace.clone()));
     }
-    if target.route.open {
+    if target.route.anonymous {
         return Ok(Caller::Anonymous);
     }
     gateway.meters.unidentified.inc();
@@ -178,7 +178,7 @@
     let admitted = gateway.admit(&TurnArrival {
         program: &program.id,
         first: call.previous.is_none(),
-        linked: route.is_linked(),
+        turns_linked: route.is_linked(),
         service: &target.service,
         rank: priority.unwrap_or(route.priority),
         workspace: workspace.map(|workspace| &workspace.name),
@@ -216,7 +216,7 @@
 ///
 /// Returns the refusal of a body that is too long, or for which there is no room.
 pub fn make_room(gateway: &Gateway, routing: &Routing, size: usize) -> Result<Hold, Refusal> {
-    if size > routing.limits.body {
+    if size > routing.limits.max_body_bytes {
         return Err(too_long());
     }
     // A body without a length is taken for a usual one until it is here.
--- a/net/src/keeper_list.rs
+++ b/net/src/keeper_list.rs
@@ -132,13 +132,13 @@
         let whole = self.keeper.state().whole;
         self.replicas.dial(&membership);
         let unheard = self.replicas.silent_for(CUT_OFF_AFTER);
-        let cut_off = membership.is_cut_off(&unheard, self.faults);
+        let cut_off = membership.is_isolated(&unheard, self.faults);
         self.keeper.set_cut_off(cut_off);
         if retiring {
             return self.retire(store, &membership).await;
         }
         let requests = self.keeper.requests(REQUEST_GATHER, WRITER_WAIT);
-        self.swap(store, |list| list.with(&requests, self.faults))
+        self.swap(store, |list| list.with_requests(&requests, self.faults))
             .await?;
         let node = self.keeper.node.as_str();
         let request = ListRequest::Join {
@@ -147,7 +147,7 @@
         };
         let Some(at) = membership.place(node).filter(|_| {
             let request = std::slice::from_ref(&request);
-            membership.with(request, self.faults).is_none()
+            membership.with_requests(request, self.faults).is_none()
         }) else {
             return self.request(store, &membership, request).await;
         };
@@ -199,14 +199,14 @@
         request: ListRequest,
     ) -> Result<(), PlatformError> {
         let requests = std::slice::from_ref(&request);
-        if membership.with(requests, self.faults).is_none() {
+        if membership.with_requests(requests, self.faults).is_none() {
             return Ok(());
         }
         let writer = self.writer(membership);
         if writer.is_some_and(|writer| !self.is_own(writer) && self.ask_writer(writer, &request)) {
             return Ok(());
         }
-        self.swap(store, |list| list.with(requests, self.faults))
+        self.swap(store, |list| list.with_requests(requests, self.faults))
             .await?;
         Ok(())
     }
@@ -242,7 +242,7 @@
             .filter(|other| *other.node != *node && other.standing != MemberState::Joining)
             .map(|other| other.node.clone())
             .collect();
-        let may_miss = membership.may_miss(node, had, self.faults);
+        let may_miss = membership.max_missing(node, had, self.faults);
         let mut missing = 0;
         for other in &others {
             let copied = (membership.moved, other.clone());
@@ -376,20 +376,20 @@
         let silent = self.replicas.silent_for(replace_after);
         let unheard = self.replicas.silent_for(UNHEARD_AFTER);
         let lost = self.replicas.silent_for(LOST_AFTER);
-        let without_lost = |list: &Membership| list.without_lost(&lost, self.faults);
+        let without_lost = |list: &Membership| list.without_unreachable(&lost, self.faults);
         if without_lost(membership).is_some() && self.keeper.state().whole {
             self.keeper
                 .note(LogEvent::new("keepers_lost").with("keepers", lost.join(",")));
             self.swap(store, without_lost).await?;
             return Ok(());
         }
-        let Some(gone) = membership.replaceable(&silent, &unheard, self.faults) else {
+        let Some(gone) = membership.keeper_to_replace(&silent, &unheard, self.faults) else {
             return Ok(());
         };
         self.keeper
             .note(LogEvent::new("keeper_replaced").with("keeper", &gone.node));
         self.swap(store, |list| {
-            let gone = list.replaceable(&silent, &unheard, self.faults)?;
+            let gone = list.keeper_to_replace(&silent, &unheard, self.faults)?;
             list.leave(&gone.node)
         })
         .await?;
@@ -443,7 +443,7 @@
     /// Puts the list under a new epoch before a keeper that lost its disk
     /// copies anything. Returns whether that was done.
     async fn renew(&self, store: &mut PlatformStore) -> Result<bool, PlatformError> {
-        let done = self.swap(store, |list| Some(list.renew())).await?;
+        let done = self.swap(store, |list| Some(list.with_new_epoch())).await?;
         if done {
             let epoch = self.keeper.site.known().keepers.epoch;
             self.keeper
--- a/net/src/keeper_node.rs
+++ b/net/src/keeper_node.rs
@@ -180,7 +180,7 @@
     fn count(&self, asker: &ProcessStart, uses: &[UsageReport]) -> KeeperReply {
         let now = self.clock.now();
         let mut book = self.allowances.lock().expect("no panic while locked");
-        let replies = uses.iter().map(|told| book.take(now, asker, told));
+        let replies = uses.iter().map(|told| book.apply_report(now, asker, told));
         KeeperReply::Spent(replies.collect())
     }
 
@@ -188,7 +188,7 @@
         let now = self.clock.now();
         let known = self.site.known();
         let mut loads = self.loads.lock().expect("no panic while locked");
-        KeeperReply::Loads(loads.take(now, asker, report, &known.fleet))
+        KeeperReply::Loads(loads.apply_report(now, asker, report, &known.fleet))
     }
 
     /// Answers a question.
@@ -233,7 +233,7 @@
                 begin: None,
                 ref finish,
                 ..
-            } if !self.state().ledger.has_begun(&finish.turn) => {
+            } if !self.state().ledger.has_start(&finish.turn) => {
                 KeeperReply::Failed("the turn's beginning is not here; send it too".to_owned())
             }
             KeeperRequest::End {
@@ -332,7 +332,7 @@
         let mut links = Vec::new();
         if let Some(previous) = previous {
             let mut state = self.state();
-            state.ledger.touch(self.clock.now(), previous);
+            state.ledger.renew_retention(self.clock.now(), previous);
             if chain {
                 links = state.ledger.chain(previous, |_| false);
             }
@@ -349,14 +349,14 @@
         let state = self.state();
         ReplicaView {
             whole: state.whole,
-            shares: state.ledger.shares(program, turn),
+            usage: state.ledger.usage(program, turn),
             previous: previous.map_or(Presence::Never, |turn| presence(&state, turn)),
         }
     }
 
     fn chain(&self, turn: &str) -> KeeperReply {
         let mut state = self.state();
-        state.ledger.touch(self.clock.now(), turn);
+        state.ledger.renew_retention(self.clock.now(), turn);
         KeeperReply::Chain {
             presence: presence(&state, turn),
             links: state.ledger.chain(turn, |_| false),
@@ -490,7 +490,7 @@
 }
 
 fn presence(state: &State, turn: &str) -> Presence {
-    if state.ledger.has(turn) {
+    if state.ledger.has_complete(turn) {
         Presence::Here
     } else if state.whole {
         Presence::Never
--- a/net/src/load_reporter.rs
+++ b/net/src/load_reporter.rs
@@ -107,7 +107,7 @@
             let times = self.times.entry(keeper.clone()).or_default();
             if times.is_due(now, duty, busy, reporters) {
                 let since = times.last();
-                times.note(now, busy);
+                times.record(now, busy);
                 self.report(now, keeper, since);
             }
         }
@@ -116,7 +116,7 @@
     /// Returns the keepers in charge of load, of those within reach.
     fn keepers(&self) -> Vec<Arc<str>> {
         let listed = self.site.known().keepers.clone();
-        let order = listed.in_charge(LOAD).into_iter();
+        let order = listed.ranked_for(LOAD).into_iter();
         let order = order.filter(|keeper| self.replicas.takes_load(&keeper.node));
         order.take(2).map(|keeper| keeper.node.clone()).collect()
     }
@@ -140,10 +140,10 @@
                 };
                 if let Some(KeeperReply::Loads(summary)) = heard.reply {
                     let mut known = site.known();
-                    known.fleet.hear_loads(now, &summary.servers);
-                    known.fleet.hear_places(now, &summary.places);
+                    known.fleet.apply_peer_loads(now, &summary.servers);
+                    known.fleet.apply_peer_places(now, &summary.places);
                     drop(known);
-                    loads.hear(&heard.node, now, summary);
+                    loads.apply_summary(&heard.node, now, summary);
                 }
             })
             .detach();
--- a/net/src/load_reports.rs
+++ b/net/src/load_reports.rs
@@ -75,8 +75,8 @@
     }
 
     /// Takes a keeper's answer to the report that went at `asked`.
-    pub fn hear(&self, keeper: &Arc<str>, asked: Time, summary: LoadSummary) {
-        self.inner().known.hear(keeper, asked, summary);
+    pub fn apply_summary(&self, keeper: &Arc<str>, asked: Time, summary: LoadSummary) {
+        self.inner().known.apply_summary(keeper, asked, summary);
     }
 
     /// Returns what the gateway has at each service that it has used.
--- a/net/src/operators.rs
+++ b/net/src/operators.rs
@@ -64,7 +64,7 @@
     let limit = handle.settings.limits.body;
     let body = read_body(body, limit).await.map_err(|error| match error {
         BodyError::TooLong => Refusal::new(Code::TooLarge),
-        BodyError::Broken => Refusal::with(Code::BadRequest, error.to_string()),
+        BodyError::Broken => Refusal::with_detail(Code::BadRequest, error.to_string()),
     })?;
     let path = head.uri.path();
     match (&head.method, path) {
@@ -77,7 +77,7 @@
         (&Method::POST, "/v1/settle") => settle(handle, operator, &body).await,
         (method, path) => match path.strip_prefix("/v1/drains/") {
             Some(server) => drain(handle, &operator, method, &NodeId::new(server)).await,
-            None => Err(Refusal::with(
+            None => Err(Refusal::with_detail(
                 Code::BadRequest,
                 "no such path; see docs/operators.md",
             )),
@@ -87,7 +87,7 @@
 
 fn operator(handle: &EntryHandle, request: &Request<Incoming>) -> Result<Operator, Refusal> {
     let refuse = || {
-        Refusal::with(
+        Refusal::with_detail(
             Code::BadKey,
             "send an operator's key in the Authorization header",
         )
@@ -106,7 +106,7 @@
 }
 
 fn store_refusal(error: StoreError) -> Refusal {
-    Refusal::with(Code::StoreDown, error.to_string())
+    Refusal::with_detail(Code::StoreDown, error.to_string())
 }
 
 /// Reads an operator's envelope with its revision, zero if there is none.
@@ -117,7 +117,7 @@
         return Ok((patch::empty_envelope(operator), 0));
     };
     let envelope = serde_json::from_str(&item.value)
-        .map_err(|error| Refusal::with(Code::BadDocument, error.to_string()))?;
+        .map_err(|error| Refusal::with_detail(Code::BadDocument, error.to_string()))?;
     Ok((envelope, item.revision))
 }
 
@@ -144,7 +144,7 @@
 
 fn check(body: &[u8]) -> Result<Response<Body>, Refusal> {
     let value: Value = serde_json::from_slice(body)
-        .map_err(|error| Refusal::with(Code::BadRequest, error.to_string()))?;
+        .map_err(|error| Refusal::with_detail(Code::BadRequest, error.to_string()))?;
     let faults: Vec<Value> = match Document::parse(&value) {
         Ok(_) => Vec::new(),
         Err(faults) => faults
@@ -163,7 +163,7 @@
     body: &[u8],
 ) -> Result<Response<Body>, Refusal> {
     let patch: Patch = serde_json::from_slice(body)
-        .map_err(|error| Refusal::with(Code::BadRequest, error.to_string()))?;
+        .map_err(|error| Refusal::with_detail(Code::BadRequest, error.to_string()))?;
     let mut last = Refusal::new(Code::StoreDown);
     for _ in 0..TRIES {
         // A service that cannot be read now is not waited for: the operator
@@ -210,7 +210,7 @@
         PatchError::BadId(_) => Code::BadRequest,
         PatchError::Unfit(_) | PatchError::Faulty(_) => Code::BadDocument,
     };
-    Refusal::with(code, error.to_string())
+    Refusal::with_detail(code, error.to_string())
 }
 
 async fn programs(handle: &EntryHandle, operator: &Operator) -> Result<Response<Body>, Refusal> {
@@ -252,11 +252,11 @@
     body: &[u8],
 ) -> Result<Response<Body>, Refusal> {
     let body: SettleBody = serde_json::from_slice(body)
-        .map_err(|error| Refusal::with(Code::BadRequest, error.to_string()))?;
+        .map_err(|error| Refusal::with_detail(Code::BadRequest, error.to_string()))?;
     let program = body
         .program
         .parse()
-        .map_err(|error| Refusal::with(Code::BadRequest, format!("{error}")))?;
+        .map_err(|error| Refusal::with_detail(Code::BadRequest, format!("{error}")))?;
     let judgement = OutcomeDecision {
         program,
         operator,
@@ -282,7 +282,7 @@
     let ours = envelope.document["servers"].get(server.as_str()).is_some();
     if !ours {
         let detail = format!("{server} is no server of your document");
-        return Err(Refusal::with(Code::BadRequest, detail));
+        return Err(Refusal::with_detail(Code::BadRequest, detail));
     }
     let key = keys::drain(server);
     match *method {
@@ -294,7 +294,7 @@
                 .map_err(store_refusal)?;
         }
         Method::DELETE => handle.store.delete(&key).await.map_err(store_refusal)?,
-        _ => return Err(Refusal::with(Code::BadRequest, "use POST or DELETE")),
+        _ => return Err(Refusal::with_detail(Code::BadRequest, "use POST or DELETE")),
     }
     Ok(json_answer(
         200,
--- a/net/src/overload_watch.rs
+++ b/net/src/overload_watch.rs
@@ -56,7 +56,7 @@
             .with("service", service)
             .with("share", format!("{:.2}", state.admitted))
             .with("load", format!("{:.2}", state.load))
-            .with("lost", format!("{:.2}", state.lost));
+            .with("lost", format!("{:.2}", state.lost_share));
         gateway.note(match estimate.zip(slowdown) {
             Some((estimate, slowdown)) => note
                 .with("slowdown_ms", slowdown.as_millis())
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -160,7 +160,7 @@
 
     fn once_idle(&self, now: Time) -> Duration {
         let limit = self.limit.lock().expect("no panic while locked");
-        limit.longest(now)
+        limit.max_idle(now)
     }
 
     /// Keeps a connection for the next request.
--- a/net/src/relay.rs
+++ b/net/src/relay.rs
@@ -165,7 +165,7 @@
     let hold = intake::make_room(gateway, &target.routing, size as usize)?;
     let served = gateway.serve(&target.route, start);
     let left = limit.since(gateway.clock.now());
-    let read = within(left, read_body(body, target.routing.limits.body)).await;
+    let read = within(left, read_body(body, target.routing.limits.max_body_bytes)).await;
     let Some(read) = read else {
         return Err(Refusal::new(
             StatusCode::REQUEST_TIMEOUT,
@@ -262,7 +262,7 @@
             } else {
                 Bytes::new()
             },
-            most: self.call.most_tokens,
+            most: self.call.max_tokens,
         };
         let turns = &self.gateway.turns;
         let asked = self.now();
@@ -281,17 +281,17 @@
                 Refusal::later(RETRY_KEEPERS, "too few keepers answer; come back")
             }
             TurnRefusal::Elsewhere => Refusal::later(
-                self.gateway.come_back(program),
+                self.gateway.retry_after(program),
                 "too few keepers are within reach here; come back",
             ),
         })?;
         self.reach(Step::Opened);
         let mut known = self.gateway.site.known();
-        known.fleet.take_places(self.now(), &open.places);
+        known.fleet.apply_places(self.now(), &open.places);
         drop(known);
         if kept {
             let moved = handoff::moved(self.body.len(), open.prompt.len());
-            self.gateway.observe_moved(moved);
+            self.gateway.observe_link_bytes(moved);
             self.body = open.prompt.clone();
         }
         Ok(Some(open))
--- a/net/src/site.rs
+++ b/net/src/site.rs
@@ -197,7 +197,7 @@
         let mut known = self.known();
         known.others = known.others.max(revision);
         if let Some(watch) = &mut known.watch {
-            watch.note_revision(now, revision);
+            watch.record_other_revision(now, revision);
         }
     }
 
@@ -332,7 +332,7 @@
             .with("service", &server.service)
             .with("address", server.address)
             .with("state", format!("{:?}", server.state))
-            .with("born", server.born.unwrap_or_default());
+            .with("born", server.started_at.unwrap_or_default());
         let arrival = self.known().fleet.put(server);
         self.note(
             note.with("arrival", format!("{arrival:?}"))
@@ -350,7 +350,7 @@
                 .with("why", error)
                 .with("revision", revision),
         );
-        self.known().fleet.drop_server(id);
+        self.known().fleet.remove_server(id);
     }
 
     fn server_gone(&self, id: &str, revision: u64, origin: Origin<'_>) {
@@ -363,9 +363,11 @@
         );
         let mut known = self.known();
         if origin.lapsed {
-            known.fleet.lapse(id, self.clock.now() + REGISTER_GRACE);
+            known
+                .fleet
+                .keep_until(id, self.clock.now() + REGISTER_GRACE);
         } else {
-            known.fleet.drop_server(id);
+            known.fleet.remove_server(id);
         }
     }
 
--- a/net/src/site_watch.rs
+++ b/net/src/site_watch.rs
@@ -159,7 +159,7 @@
         let now = self.clock.now();
         let mut known = self.known();
         let mut watch = StoreWatch::new(now, revision, hold);
-        watch.note_revision(now, known.others);
+        watch.record_other_revision(now, known.others);
         known.watch = Some(watch);
     }
 
@@ -169,7 +169,7 @@
             let Some(watch) = self.known().watch else {
                 return future::pending().await;
             };
-            let left = watch.limit().since(self.clock.now());
+            let left = watch.deadline().since(self.clock.now());
             if left.is_zero() {
                 return Err(if watch.is_behind() {
                     PlatformError::Behind
--- a/net/src/status.rs
+++ b/net/src/status.rs
@@ -26,11 +26,11 @@
             json!({
                 "node": node,
                 "version": entry.documents().version(&operator),
-                "shards_owned": entry.shards_held(),
+                "shards_owned": entry.shards_owned(),
                 "shards_kept": entry.owner().shards_kept(),
-                "callers_waiting": entry.front().len(),
-                "calls_open": entry.owner().calls_open(),
-                "programs": entry.owner().programs_open(),
+                "callers_waiting": entry.callers().len(),
+                "calls_open": entry.owner().open_call_count(),
+                "programs": entry.owner().program_count(),
                 "store_calls": calls,
                 "peers": peers(entry),
             })
--- a/net/src/steps.rs
+++ b/net/src/steps.rs
@@ -74,7 +74,7 @@
 
     /// Notes what the request was expected to meet at its server.
     pub fn expect(&self, work: &RequestConditions) {
-        let cold = u32::try_from(work.cold).unwrap_or(u32::MAX);
+        let cold = u32::try_from(work.uncached).unwrap_or(u32::MAX);
         self.cold.store(cold, Ordering::Relaxed);
         self.others.store(work.others as u32, Ordering::Relaxed);
     }
--- a/net/src/turns.rs
+++ b/net/src/turns.rs
@@ -124,7 +124,7 @@
     pub fn is_in_reach(&self) -> bool {
         let keepers = self.site.known().keepers.clone();
         let near = self.replicas.within_reach(REACH_WAIT);
-        let far = keepers.staying();
+        let far = keepers.remaining();
         let far = far.filter(|keeper| !near.contains(&keeper.node));
         far.count() <= self.faults
     }
@@ -378,7 +378,7 @@
                     smol::Timer::after(ASK_AGAIN / 4).await;
                 }
             }
-            if membership.denies(&never, self.faults) {
+            if membership.rules_out(&never, self.faults) {
                 return Err(TurnRefusal::NoPrevious);
             }
         }
--- a/net/tests/load_reports.rs
+++ b/net/tests/load_reports.rs
@@ -125,7 +125,7 @@
         let site = Site::new("gateway", clock, KeyDigester::new(b"key"), changed);
         site.known().fleet.put(Server {
             id: "server".into(),
-            born: None,
+            started_at: None,
             service: "engine".into(),
             address: ([127, 0, 0, 1], 9).into(),
             centre: "here".into(),
--- a/testutils/src/bin/limpetferry-load.rs
+++ b/testutils/src/bin/limpetferry-load.rs
@@ -615,7 +615,7 @@
             };
             ask(&mut bench, Request::Open(open));
         }
-        let opened = bench.entry.owner().programs_open();
+        let opened = bench.entry.owner().program_count();
         bench.took = Duration::ZERO;
         for serial in 0..CALLS {
             let id = ids[(serial.wrapping_mul(7_919) % programs) as usize];
--- a/testutils/src/experiment.rs
+++ b/testutils/src/experiment.rs
@@ -260,9 +260,9 @@
             pieces += share * *tokens as f64;
         }
         let busy = Duration::from_micros(REPORT) * self.answers.len() as u32;
-        self.speed.note(busy, pieces as u32);
+        self.speed.record(busy, pieces as u32);
         self.pace = self.speed.pace();
-        self.speed.fade();
+        self.speed.decay();
     }
 
     fn held(&self, program: u64) -> u64 {
@@ -391,9 +391,9 @@
         let entry = (id % ENTRIES) as usize;
         let view = |(index, engine): (usize, &Engine)| ServerView {
             slots: SLOTS as u32,
-            busy: engine.sent[entry].max(engine.reported.0),
+            active_calls: engine.sent[entry].max(engine.reported.0),
             backlog: engine.backlog[entry].max(engine.reported.1),
-            cached: if program.warm == Some(index) {
+            cached_tokens: if program.warm == Some(index) {
                 program.known
             } else {
                 0
