--- a/lib/src/allowance.rs
+++ b/lib/src/allowance.rs
@@ -1,5 +1,5 @@
 //! Rate limits of workspaces over all gateways: the operator's bounds, and the
-//! messages between gateways (`spending`) and keepers (`allowance_book`).
+//! messages between gateways (`rate_limiter`) and keepers (`allowance_counter`).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,7 +42,7 @@
 
 impl AllowanceBounds {
     /// Returns whether the values are within their valid ranges.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let fractions = 0.0..=1.0;
         self.window_s > 0.0
             && self.overrun >= 0.0
@@ -77,7 +77,7 @@
 
 /// A gateway's report on its use of a workspace's allowance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct UsageReport {
     /// Name of the workspace.
     pub workspace: Arc<str>,
     /// Requests that may be sent within a window, by the gateway's version of the
@@ -86,7 +86,7 @@
     /// Requests that are reserved for gateways without a reachable keeper.
     pub reserve: u32,
     /// Requests that the gateway sent within the window, as returned by
-    /// [`SlidingWindow::ages`](crate::recent::SlidingWindow::ages).
+    /// [`SlidingWindow::ages`](crate::sliding_window::SlidingWindow::ages).
     pub ages: Vec<u16>,
     /// Programs whose first request reached the gateway since its last report.
     pub programs: Vec<u64>,
@@ -130,7 +130,7 @@
 
 /// A keeper's decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ruling {
+pub enum KeeperDecision {
     /// It may be sent.
     Go,
     /// The allowance is exhausted; it has room for a request after this time.
@@ -145,9 +145,9 @@
     },
 }
 
-/// A keeper's reply to a [`Use`].
+/// A keeper's reply to a [`UsageReport`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseReply {
+pub struct UsageReply {
     /// Requests within the window that other gateways sent, or are expected to
     /// send for the running programs; `None` while each request needs permission.
     pub others: Option<u32>,
@@ -161,7 +161,7 @@
     /// has.
     pub young: Duration,
     /// Decision on the request that needed permission, if there was one.
-    pub ruling: Option<Ruling>,
+    pub ruling: Option<KeeperDecision>,
 }
 
 /// One run of a process; a restarted process has lost its state.
--- a/lib/src/candidate.rs
+++ b/lib/src/candidate.rs
@@ -5,21 +5,21 @@
 
 use crate::cached::Cached;
 use crate::call::Part;
+use crate::criteria::Criteria;
+use crate::criteria::ServerKey;
 use crate::hash;
 use crate::load_report::ServerSample;
-use crate::others::OtherLoad;
+use crate::other_load::OtherLoad;
 use crate::outlier::Health;
 use crate::own_history::OwnHistory;
 use crate::pace::Pace;
 use crate::pace::PaceContext;
 use crate::server::Load;
-use crate::server::Outcome;
 use crate::server::Server;
+use crate::server::ServerOutcome;
+use crate::service_time::RequestConditions;
 use crate::service_time::ServiceTime;
-use crate::service_time::Work;
 use crate::time::Time;
-use crate::wish::ServerKey;
-use crate::wish::Wish;
 
 /// Share of a prompt's prefill time that delays each other request at the
 /// server: engines interleave prefill with the decoding of running requests.
@@ -128,9 +128,9 @@
     }
 
     /// Returns the conditions that a request would meet at this server.
-    pub(crate) fn work(&self, now: Time, others: OtherLoad, parts: &[Part]) -> Work {
-        Work {
-            cold: self.cached.uncached_tokens(parts),
+    pub(crate) fn work(&self, now: Time, others: OtherLoad, parts: &[Part]) -> RequestConditions {
+        RequestConditions {
+            uncached: self.cached.uncached_tokens(parts),
             others: f64::from(self.own) + self.others(now, others),
             slots: f64::from(self.server.slots),
         }
@@ -159,26 +159,26 @@
         now: Time,
         key: ServerKey,
         stats: &ServiceStats<'_>,
-        wish: &Wish<'_>,
+        criteria: &Criteria<'_>,
         pace: f64,
     ) -> f64 {
         let times = stats.times;
-        let work = self.work(now, stats.others, wish.parts);
-        let mut cost = if wish.parts.is_empty() {
+        let work = self.work(now, stats.others, criteria.parts);
+        let mut cost = if criteria.parts.is_empty() {
             times.plain_cost(&work)
         } else {
             times.stream_cost(&work)
-                + PREFILL_INTERFERENCE * work.others * times.prefill_ms(work.cold)
+                + PREFILL_INTERFERENCE * work.others * times.prefill_ms(work.uncached)
         };
         cost *= pace;
-        if &*self.server.centre != wish.centre {
+        if &*self.server.centre != criteria.centre {
             cost += FAR_MS;
         }
-        let connected = wish.connected;
+        let connected = criteria.idle_connections;
         if connected.is_some_and(|connected| !connected.has(key)) {
             cost += CONNECT_MS;
         }
-        if wish
+        if criteria
             .object
             .is_some_and(|object| self.cached.contains(digest(object)))
         {
@@ -211,15 +211,20 @@
 
     /// Records that a request of this process is sent there, and returns the
     /// conditions it meets.
-    pub(crate) fn begin(&mut self, now: Time, others: OtherLoad, wish: &Wish<'_>) -> Work {
-        let work = self.work(now, others, wish.parts);
+    pub(crate) fn begin(
+        &mut self,
+        now: Time,
+        others: OtherLoad,
+        criteria: &Criteria<'_>,
+    ) -> RequestConditions {
+        let work = self.work(now, others, criteria.parts);
         self.history.record(now, self.own);
         self.own += 1;
         self.health.record_sent(now);
-        for part in wish.parts {
+        for part in criteria.parts {
             self.cached.add(now, *part);
         }
-        if let Some(object) = wish.object {
+        if let Some(object) = criteria.object {
             let id = digest(object);
             self.cached.add(now, Part { id, tokens: 0 });
         }
@@ -228,37 +233,37 @@
 
     /// Records how a request of this process ended; `mean_answer` is the
     /// mean time of answers.
-    pub(crate) fn end(&mut self, now: Time, outcome: Outcome, mean_answer: Duration) {
+    pub(crate) fn end(&mut self, now: Time, outcome: ServerOutcome, mean_answer: Duration) {
         self.history.record(now, self.own);
         self.own = self.own.saturating_sub(1);
         match outcome {
-            Outcome::Answered => {
+            ServerOutcome::Answered => {
                 self.broken = 0;
                 self.pause_until = None;
                 self.full_until = None;
                 self.health.record_outcome(now, false);
             }
-            Outcome::Failed => self.health.record_outcome(now, true),
-            Outcome::Full => {
+            ServerOutcome::Failed => self.health.record_outcome(now, true),
+            ServerOutcome::Full => {
                 self.pause_until = Some(now + FULL_PAUSE);
                 self.full_until = self.pause_until;
             }
-            Outcome::Broken => {
+            ServerOutcome::Broken => {
                 let pause = BROKEN_PAUSE * 2_u32.pow(self.broken.min(4));
                 self.pause_until = Some(now + pause.min(MAX_PAUSE));
                 self.broken += 1;
                 self.health.record_outcome(now, true);
             }
-            Outcome::Replaced => self.pause_until = Some(now + MAX_PAUSE),
+            ServerOutcome::Replaced => self.pause_until = Some(now + MAX_PAUSE),
             // The caller disconnected or its deadline passed. This counts
             // against the server only if it has not responded for long.
-            Outcome::Abandoned if self.health.is_silent(now, mean_answer) => {
+            ServerOutcome::Abandoned if self.health.is_silent(now, mean_answer) => {
                 self.health.record_silence(now);
             }
-            Outcome::Silent => self.health.record_silence(now),
-            Outcome::Abandoned => {}
+            ServerOutcome::Silent => self.health.record_silence(now),
+            ServerOutcome::Abandoned => {}
         }
-        if outcome != Outcome::Abandoned || self.own == 0 {
+        if outcome != ServerOutcome::Abandoned || self.own == 0 {
             self.health.record_response();
         }
     }
--- a/lib/src/effect.rs
+++ b/lib/src/effect.rs
@@ -3,11 +3,11 @@
 use crate::id::CallId;
 use crate::id::NodeId;
 use crate::id::ProgramId;
-use crate::keeper::CopyRecord;
 use crate::message::Message;
 use crate::message::Reply;
 use crate::program::Target;
-use crate::shard::Block;
+use crate::shard_copies::CopyRecord;
+use crate::shard_map::Block;
 
 /// Identifies a caller's request at an entry's listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -15,14 +15,14 @@
 
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LogEvent {
     /// Name of the event.
     pub event: &'static str,
     /// Key-value pairs that describe it.
     pub pairs: Vec<(&'static str, String)>,
 }
 
-impl Note {
+impl LogEvent {
     /// Creates an event without pairs.
     pub fn new(event: &'static str) -> Self {
         Self {
@@ -75,7 +75,7 @@
     },
     /// Reads a shard block again, after a swap was rejected or its answer was
     /// lost.
-    Reread {
+    ReadBlock {
         /// Number of the block.
         block: u16,
     },
@@ -86,7 +86,7 @@
         /// The attempt.
         attempt: u64,
         /// The request to the backend server.
-        work: Work,
+        work: BackendRequest,
     },
     /// Closes the connection of a call to the backend server.
     Abort {
@@ -104,12 +104,12 @@
     /// are carried out: they acknowledge the change to other processes.
     Store(Box<CopyRecord>),
     /// Logs an event.
-    Note(Note),
+    Log(LogEvent),
 }
 
 /// A request to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Work {
+pub struct BackendRequest {
     /// The program.
     pub program: ProgramId,
     /// The model or service to use.
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -5,31 +5,31 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-use crate::assign::Planner;
+use crate::callers::Callers;
 use crate::document::Documents;
 use crate::document::Update;
 use crate::effect::CallerKey;
 use crate::effect::Effect;
-use crate::effect::Note;
-use crate::front::Front;
+use crate::effect::LogEvent;
 use crate::id::Boot;
 use crate::id::DataCentre;
 use crate::id::NodeId;
 use crate::id::ShardId;
-use crate::member::Listed;
 use crate::member::Load;
 use crate::member::Members;
 use crate::member::Node;
-use crate::message::Beat;
+use crate::member::VmState;
+use crate::message::Heartbeat;
 use crate::message::Message;
 use crate::message::Request;
 use crate::owner::Context;
 use crate::owner::Owner;
 use crate::owner::Phase;
 use crate::rules::Rules;
-use crate::shard::Assignment;
-use crate::shard::Block;
-use crate::shard::ShardMap;
+use crate::shard_map::Assignment;
+use crate::shard_map::Block;
+use crate::shard_map::ShardMap;
+use crate::shard_planner::Planner;
 use crate::time::Time;
 
 /// Shortest time between two swaps of the same block.
@@ -75,9 +75,9 @@
     /// The registry of processes was read.
     Registry(Vec<Node>),
     /// The VM list was read: the listed VMs and their states.
-    VmList(Vec<(String, Listed)>),
+    VmList(Vec<(String, VmState)>),
     /// The list of servers that operators are draining was read.
-    Drains(Vec<NodeId>),
+    DrainList(Vec<NodeId>),
     /// A shard block was read; revision zero means that it does not exist
     /// yet.
     Block {
@@ -119,7 +119,7 @@
     members: Members,
     map: ShardMap,
     documents: Documents,
-    front: Front,
+    callers: Callers,
     owner: Owner,
     planner: Planner,
     /// Whether each block has been read; only then may it be swapped.
@@ -151,7 +151,7 @@
     pub fn new(node: NodeId, centre: DataCentre, boot: Boot, rules: Rules, seed: u64) -> Self {
         let map = ShardMap::new(rules.shards);
         Self {
-            front: Front::new(node.clone(), boot),
+            callers: Callers::new(node.clone(), boot),
             owner: Owner::new(node.clone(), SmallRng::seed_from_u64(seed)),
             planner: Planner {
                 node: node.clone(),
@@ -186,8 +186,8 @@
     }
 
     /// Returns the waiting callers.
-    pub fn front(&self) -> &Front {
-        &self.front
+    pub fn callers(&self) -> &Callers {
+        &self.callers
     }
 
     /// Returns the state of the shards that it owns.
@@ -196,14 +196,14 @@
     }
 
     /// Returns the number of shards that it owns.
-    pub fn shards_held(&self) -> usize {
+    pub fn shards_owned(&self) -> usize {
         self.owner.shards.len()
     }
 
     /// Returns whether the process may exit: no caller waits and no call is
     /// open.
     pub fn is_idle(&self) -> bool {
-        self.front.is_empty() && self.owner.calls_open() == 0
+        self.callers.is_empty() && self.owner.open_call_count() == 0
     }
 
     /// Handles an event and appends the resulting effects to `out`.
@@ -239,11 +239,11 @@
                 offset,
             } => {
                 let mut cx = context!(self, now, out);
-                self.front.on_request(&mut cx, caller, request, offset);
+                self.callers.on_request(&mut cx, caller, request, offset);
             }
             Event::CallerGone(caller) => {
                 let mut cx = context!(self, now, out);
-                self.front.on_disconnect(&mut cx, caller);
+                self.callers.on_disconnect(&mut cx, caller);
             }
             Event::Message { from, message } => self.message(now, &from, message, out),
             Event::LinkUp { node, boot } => {
@@ -255,12 +255,12 @@
             Event::LinkDown { node } => {
                 self.members.link_down(now, &node);
                 let mut cx = context!(self, now, out);
-                self.front.link_down(&mut cx, &node);
+                self.callers.link_down(&mut cx, &node);
                 self.owner.link_down(&mut cx, &node);
             }
             Event::Registry(nodes) => self.registry(now, &nodes),
             Event::VmList(list) => self.vm_list(&list),
-            Event::Drains(drains) => self.members.drained(&drains),
+            Event::DrainList(drains) => self.members.set_drained(&drains),
             Event::Block {
                 block,
                 revision,
@@ -285,7 +285,7 @@
                 // The swap may have taken effect all the same; reading the
                 // block shows it.
                 self.last_swaps.insert(block, now);
-                out.push(Effect::Reread { block });
+                out.push(Effect::ReadBlock { block });
             }
             Event::Document(text) => self.document(&text, out),
             Event::Tick => self.tick(now, out),
@@ -307,20 +307,20 @@
         }
     }
 
-    fn vm_list(&mut self, list: &[(String, Listed)]) {
-        let states: BTreeMap<&str, Listed> = list
+    fn vm_list(&mut self, list: &[(String, VmState)]) {
+        let states: BTreeMap<&str, VmState> = list
             .iter()
             .map(|(vm, state)| (vm.as_str(), *state))
             .collect();
         self.members
-            .listed(|vm| states.get(vm).copied().unwrap_or(Listed::Absent));
+            .apply_vm_list(|vm| states.get(vm).copied().unwrap_or(VmState::Absent));
     }
 
     fn document(&mut self, text: &str, out: &mut Vec<Effect>) {
         match self.documents.update(text) {
             Update::Applied(version) => {
-                out.push(Effect::Note(
-                    Note::new("document_applied").with("version", version),
+                out.push(Effect::Log(
+                    LogEvent::new("document_applied").with("version", version),
                 ));
                 for member in self.members.iter() {
                     out.push(Effect::Send {
@@ -332,8 +332,8 @@
             Update::Stale => {}
             Update::Faulty(faults) => {
                 for fault in faults {
-                    out.push(Effect::Note(
-                        Note::new("document_faulty").with("fault", fault),
+                    out.push(Effect::Log(
+                        LogEvent::new("document_faulty").with("fault", fault),
                     ));
                 }
             }
@@ -356,7 +356,7 @@
             return;
         }
         for shard in changed {
-            let offset = usize::from(shard.0 % crate::shard::BLOCK_SHARDS);
+            let offset = usize::from(shard.0 % crate::shard_map::BLOCK_SHARDS);
             let old = before.get(offset).cloned().unwrap_or_default();
             self.apply_assignment(now, shard, &old, out);
         }
@@ -393,7 +393,7 @@
         // If epochs were skipped, another process owned the shard meanwhile,
         // and the local state is stale; the keeper's copy is current.
         let is_next_epoch = held.is_some_and(|held| held.epoch.0 + 1 == epoch.0);
-        let whole = held.is_some_and(|held| held.phase == Phase::Whole);
+        let whole = held.is_some_and(|held| held.phase == Phase::Loaded);
         if is_next_epoch && old.owner == assignment.owner && (whole || lost) {
             self.owner.renew(&mut cx, shard, &assignment);
             return;
@@ -424,7 +424,7 @@
     ) {
         let mut cx = context!(self, now, out);
         let cx = &mut cx;
-        let (front, owner) = (&mut self.front, &mut self.owner);
+        let (callers, owner) = (&mut self.callers, &mut self.owner);
         match message {
             Message::Submit {
                 ticket,
@@ -437,16 +437,16 @@
                 attempt,
                 offset,
                 bytes,
-            } => front.chunk(cx, from, ticket, attempt, offset, &bytes),
-            Message::Reply { ticket, reply } => front.reply(cx, from, ticket, reply),
+            } => callers.chunk(cx, from, ticket, attempt, offset, &bytes),
+            Message::Reply { ticket, reply } => callers.reply(cx, from, ticket, reply),
             Message::Copy { shard, epoch, copy } => owner.copy(from, shard, epoch, *copy),
             Message::Copied { shard, epoch, seq } => owner.copied(cx, from, shard, epoch, seq),
-            Message::Kept { shard, epoch, seq } => owner.kept(cx, from, shard, epoch, seq),
+            Message::Kept { shard, epoch, seq } => owner.handle_ack(cx, from, shard, epoch, seq),
             Message::KeepRefused {
                 shard,
                 epoch,
                 fault,
-            } => owner.keep_refused(cx, from, shard, epoch, fault),
+            } => owner.handle_rejection(cx, from, shard, epoch, fault),
             Message::OrderRefused {
                 call,
                 attempt,
@@ -473,9 +473,15 @@
         }
     }
 
-    fn on_heartbeat(&mut self, now: Time, from: &NodeId, heartbeat: &Beat, out: &mut Vec<Effect>) {
+    fn on_heartbeat(
+        &mut self,
+        now: Time,
+        from: &NodeId,
+        heartbeat: &Heartbeat,
+        out: &mut Vec<Effect>,
+    ) {
         self.members
-            .heard(now, from, heartbeat.load, heartbeat.leaving);
+            .apply_report(now, from, heartbeat.load, heartbeat.leaving);
         for text in self.documents.newer_than(&heartbeat.versions) {
             out.push(Effect::Send {
                 to: from.clone(),
@@ -503,7 +509,7 @@
     }
 
     fn send_heartbeat(&self, to: &NodeId, out: &mut Vec<Effect>) {
-        let heartbeat = Beat {
+        let heartbeat = Heartbeat {
             versions: self.documents.versions(),
             blocks: (0..self.map.blocks())
                 .map(|b| self.map.revision(b))
@@ -535,7 +541,7 @@
             }
         }
         let mut cx = context!(self, now, out);
-        self.front.tick(&mut cx);
+        self.callers.tick(&mut cx);
         self.owner.tick(&mut cx);
         for block in 0..self.map.blocks() {
             self.plan(now, block, out);
@@ -552,7 +558,7 @@
                 // The answer was lost; reading the block shows whether the
                 // swap took effect.
                 self.pending_swaps.insert(block, now);
-                out.push(Effect::Reread { block });
+                out.push(Effect::ReadBlock { block });
                 return;
             }
             None => {}
--- a/lib/src/fleet/paces.rs
+++ b/lib/src/fleet/paces.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use super::Fleet;
+use crate::criteria::ServerKey;
 use crate::pace::Baseline;
 use crate::pace::PaceChange;
 use crate::pace::PaceContext;
@@ -10,10 +11,9 @@
 use crate::pace::Sample;
 use crate::pace::Wait;
 use crate::pace::WaitKey;
+use crate::service_time::RequestConditions;
 use crate::service_time::Span;
-use crate::service_time::Work;
 use crate::time::Time;
-use crate::wish::ServerKey;
 
 /// Maximum share of a service's servers that may be late before overdue
 /// requests are ignored: beyond it, the slowdown concerns the whole service.
@@ -52,7 +52,7 @@
         &mut self,
         now: Time,
         key: ServerKey,
-        work: &Work,
+        work: &RequestConditions,
         span: Span,
     ) -> Option<WaitKey> {
         let service = &self.members.get(key)?.server.service;
@@ -80,7 +80,7 @@
     }
 
     /// Records that a wait ended without an answer.
-    pub fn give_up(&mut self, now: Time, key: ServerKey, wait: WaitKey) {
+    pub fn abandon_wait(&mut self, now: Time, key: ServerKey, wait: WaitKey) {
         let Some(member) = self.members.get_mut(key) else {
             return;
         };
@@ -102,7 +102,7 @@
         &mut self,
         now: Time,
         key: ServerKey,
-        work: &Work,
+        work: &RequestConditions,
         span: Span,
         took: Duration,
     ) -> Duration {
--- a/lib/src/fleet/reports.rs
+++ b/lib/src/fleet/reports.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use super::Fleet;
+use crate::load_estimator::OwnUse;
 use crate::load_map::MAX_SAMPLES;
-use crate::load_map::ServerServices;
+use crate::load_map::ServiceOfServer;
 use crate::load_report::ServerSample;
 use crate::load_report::ServerStart;
 use crate::place::Place;
 use crate::server::ServerState;
-use crate::service_loads::OwnUse;
 use crate::service_time::ServiceTime;
 use crate::time::Time;
 
@@ -23,9 +23,9 @@
     }
 
     /// Applies reports of other processes about cached prompt parts.
-    pub fn hear_places(&mut self, now: Time, places: &[Place]) {
+    pub fn apply_peer_places(&mut self, now: Time, places: &[Place]) {
         if self.switches.samples {
-            self.take_places(now, places);
+            self.apply_places(now, places);
         }
     }
 
@@ -37,7 +37,7 @@
         }
         let members = self.members.values();
         let samples = members.filter_map(|member| {
-            let mean_answer = self.usual(&member.server.service);
+            let mean_answer = self.mean_answer(&member.server.service);
             member.sample(since, now, mean_answer)
         });
         samples.collect()
@@ -45,7 +45,7 @@
 
     /// Applies server loads that other processes received, if they are newer
     /// than what is known.
-    pub fn hear_loads(&mut self, now: Time, samples: &[ServerSample]) {
+    pub fn apply_peer_loads(&mut self, now: Time, samples: &[ServerSample]) {
         if !self.switches.samples {
             return;
         }
@@ -90,8 +90,8 @@
     }
 }
 
-impl ServerServices for Fleet {
-    fn service(&self, start: ServerStart) -> Option<&Arc<str>> {
+impl ServiceOfServer for Fleet {
+    fn service_of(&self, start: ServerStart) -> Option<&Arc<str>> {
         let &key = self.starts.get(&start)?;
         Some(&self.server(key)?.service)
     }
--- a/lib/src/handoff.rs
+++ b/lib/src/handoff.rs
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::handoff_target::HopEnd;
+use crate::handoff_target::HopOutcome;
 use crate::handoff_target::Target;
 use crate::hash;
 use crate::load_report::GatewayState;
 use crate::time::Time;
 use crate::turn_cost::FORWARD_SHARE;
-use crate::turn_cost::Offer;
 use crate::turn_cost::Power;
+use crate::turn_cost::RequestSize;
 use crate::turn_cost::TurnCost;
 
 /// Minimum time that a handoff must save, in seconds.
@@ -98,8 +98,8 @@
 
     /// Returns whether handing the request over may save time, so that it is
     /// worth comparing other gateways.
-    pub fn may_gain(&self, own: OwnLoad, offer: Offer) -> bool {
-        !offer.handed && self.local_time(own, offer) > MIN_GAIN
+    pub fn is_worthwhile(&self, own: OwnLoad, offer: RequestSize) -> bool {
+        !offer.handed_over && self.local_time(own, offer) > MIN_GAIN
     }
 
     /// Returns the gateway to hand a request over to; `None` if this one serves
@@ -108,11 +108,11 @@
         &mut self,
         now: Time,
         own: OwnLoad,
-        offer: Offer,
+        offer: RequestSize,
         gateways: &'a [GatewayState],
         draws: [f64; 2],
     ) -> Option<&'a GatewayState> {
-        if !self.may_gain(own, offer) {
+        if !self.is_worthwhile(own, offer) {
             return None;
         }
         self.update_targets(now, gateways);
@@ -130,14 +130,14 @@
     }
 
     /// Records how a request ended at a target.
-    pub fn end(&mut self, now: Time, node: &str, end: HopEnd) {
+    pub fn end(&mut self, now: Time, node: &str, end: HopOutcome) {
         if let Some(target) = self.targets.get_mut(node) {
             target.end(now, end);
         }
     }
 
     /// Records a measured round trip to a target.
-    pub fn observe_way(&mut self, node: &str, took: Duration) {
+    pub fn observe_round_trip(&mut self, node: &str, took: Duration) {
         if let Some(target) = self.targets.get_mut(node) {
             target.observe_round_trip(took);
         }
@@ -163,7 +163,12 @@
 
     /// Updates whether the data centre is overloaded, from the total load of its
     /// gateways.
-    fn update_centre_overload(&mut self, own: OwnLoad, offer: Offer, gateways: &[GatewayState]) {
+    fn update_centre_overload(
+        &mut self,
+        own: OwnLoad,
+        offer: RequestSize,
+        gateways: &[GatewayState],
+    ) {
         let rate = 1.0 / self.cost.serve_time(offer, self.own.power);
         let (mut rates, mut requests) = (rate, f64::from(own.requests));
         let mut late = own.late.as_secs_f64() * rate;
@@ -202,7 +207,7 @@
         let mut list: Vec<&GatewayState> = gateways.iter().filter(is_target).collect();
         if list.len() > MAX_TARGETS {
             let weight = |state: &&GatewayState| {
-                Reverse(hash::spread(
+                Reverse(hash::mixed_fnv(
                     self.own.node.bytes().chain(state.node.bytes()),
                 ))
             };
@@ -212,7 +217,7 @@
         list
     }
 
-    fn local_time(&self, own: OwnLoad, offer: Offer) -> f64 {
+    fn local_time(&self, own: OwnLoad, offer: RequestSize) -> f64 {
         let work = self.cost.serve_time(offer, self.own.power);
         let utilization = self.utilization(own.requests, work);
         own.late.as_secs_f64() + time_under_load(work, utilization)
@@ -224,7 +229,12 @@
         f64::from(requests) * work / self.cost.stay()
     }
 
-    fn choice<'a>(&self, now: Time, offer: Offer, state: &'a GatewayState) -> Option<Choice<'a>> {
+    fn choice<'a>(
+        &self,
+        now: Time,
+        offer: RequestSize,
+        state: &'a GatewayState,
+    ) -> Option<Choice<'a>> {
         let target = self.targets.get(&state.node)?;
         if target.is_paused(now) {
             return None;
@@ -247,7 +257,7 @@
         &self,
         now: Time,
         own: OwnLoad,
-        offer: Offer,
+        offer: RequestSize,
         gateways: Vec<&'a GatewayState>,
         draws: [f64; 2],
     ) -> Option<&'a GatewayState> {
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -21,7 +21,7 @@
 /// Role of a keeper in a change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum MemberState {
     /// In the list before and after the change.
     Member,
     /// Added by the change.
@@ -38,7 +38,7 @@
     /// Address for the system's other processes.
     pub address: SocketAddr,
     /// Role in the current change of the list.
-    pub standing: Standing,
+    pub standing: MemberState,
     /// Whether it has copied all turns that it has to store by the list after the
     /// change.
     pub ready: bool,
@@ -105,16 +105,16 @@
     /// Returns whether a change of the list is in progress.
     pub fn is_changing(&self) -> bool {
         let mut keepers = self.keepers.iter();
-        keepers.any(|keeper| keeper.standing != Standing::Member)
+        keepers.any(|keeper| keeper.standing != MemberState::Member)
     }
 
     /// Returns how many other keepers may be missing while `node` copies what it
     /// has to store, such that it still receives every committed turn. A keeper
     /// that lost its data (`lost_data`) needs one more source: its own
     /// acknowledgement may have been part of a turn's majority.
-    pub fn may_miss(&self, node: &str, lost_data: bool, faults: usize) -> usize {
+    pub fn max_missing(&self, node: &str, lost_data: bool, faults: usize) -> usize {
         let before = self.keepers.iter();
-        let before = before.filter(|keeper| keeper.standing != Standing::Joining);
+        let before = before.filter(|keeper| keeper.standing != MemberState::Joining);
         let set = before.count().min(2 * faults + 1);
         let majority = set / 2 + 1;
         let own = lost_data && self.place(node).is_some();
@@ -125,8 +125,8 @@
     /// probably isolated itself, because they are more than may fail at once. Its
     /// data from the platform's store is then not to be relied on: its watch may
     /// have been interrupted for as long.
-    pub fn is_cut_off(&self, unreachable: &[Arc<str>], faults: usize) -> bool {
-        let lost = self.staying();
+    pub fn is_isolated(&self, unreachable: &[Arc<str>], faults: usize) -> bool {
+        let lost = self.remaining();
         let lost = lost.filter(|keeper| unreachable.contains(&keeper.node));
         lost.count() > faults
     }
@@ -135,16 +135,16 @@
     /// enough remain without it. `unreachable` are all keepers that cannot be
     /// reached now: if they are more than `faults`, the caller is probably
     /// isolated itself and leaves the decision to the others.
-    pub fn replaceable(
+    pub fn keeper_to_replace(
         &self,
         timed_out: &[Arc<str>],
         unreachable: &[Arc<str>],
         faults: usize,
     ) -> Option<&Keeper> {
-        if self.staying().count() <= 2 * faults + 1 || self.is_cut_off(unreachable, faults) {
+        if self.remaining().count() <= 2 * faults + 1 || self.is_isolated(unreachable, faults) {
             return None;
         }
-        self.staying()
+        self.remaining()
             .find(|keeper| timed_out.contains(&keeper.node))
     }
 
@@ -157,7 +157,7 @@
     /// Without this rule, after one of three keepers had been emptied and
     /// removed, the loss of one of the remaining two stopped all turns until it
     /// was back.
-    pub fn without_lost(&self, unreachable: &[Arc<str>], faults: usize) -> Option<Self> {
+    pub fn without_unreachable(&self, unreachable: &[Arc<str>], faults: usize) -> Option<Self> {
         let lost = |keeper: &Keeper| unreachable.contains(&keeper.node);
         let lost_count = self.keepers.iter().filter(|keeper| lost(keeper)).count();
         let total = self.keepers.len();
@@ -169,7 +169,7 @@
         {
             return None;
         }
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         next.moved = next.epoch;
         next.keepers.retain(|keeper| !lost(keeper));
         Some(next)
@@ -179,10 +179,10 @@
     /// stored it that the others are too few for a majority of its replicas.
     /// Answers of joining keepers are not counted: they may have an earlier state
     /// and have not copied yet.
-    pub fn denies(&self, never: &HashSet<Arc<str>>, faults: usize) -> bool {
+    pub fn rules_out(&self, never: &HashSet<Arc<str>>, faults: usize) -> bool {
         let members = || {
             let keepers = self.keepers.iter();
-            keepers.filter(|keeper| keeper.standing != Standing::Joining)
+            keepers.filter(|keeper| keeper.standing != MemberState::Joining)
         };
         let votes = members().filter(|keeper| never.contains(&keeper.node));
         let count = members().count();
@@ -196,28 +196,28 @@
     /// of the store costs one call for each watch, so the number of watches must
     /// not grow with that of the keepers.
     pub fn watchers(&self, faults: usize) -> Vec<&Keeper> {
-        let mut watchers = self.in_charge(STORE_WATCH_NAME);
+        let mut watchers = self.ranked_for(STORE_WATCH_NAME);
         watchers.truncate(2 * faults + 1);
         watchers
     }
 
     /// Returns the keepers that are not leaving, ranked for a name such as that of
     /// a workspace: first the one responsible for it, then its standbys.
-    pub fn in_charge(&self, name: &str) -> Vec<&Keeper> {
-        let mut staying: Vec<&Keeper> = self.staying().collect();
-        staying.sort_by_cached_key(|keeper| std::cmp::Reverse(weight(&keeper.node, name)));
-        staying
+    pub fn ranked_for(&self, name: &str) -> Vec<&Keeper> {
+        let mut remaining: Vec<&Keeper> = self.remaining().collect();
+        remaining.sort_by_cached_key(|keeper| std::cmp::Reverse(weight(&keeper.node, name)));
+        remaining
     }
 
     /// Returns the keepers that are not leaving.
-    pub fn staying(&self) -> impl Iterator<Item = &Keeper> {
+    pub fn remaining(&self) -> impl Iterator<Item = &Keeper> {
         let keepers = self.keepers.iter();
-        keepers.filter(|keeper| keeper.standing != Standing::Leaving)
+        keepers.filter(|keeper| keeper.standing != MemberState::Leaving)
     }
 
     /// Returns the list with all requested changes applied; `None` if none of them
     /// changes it.
-    pub fn with(&self, requests: &[ListRequest], faults: usize) -> Option<Self> {
+    pub fn with_requests(&self, requests: &[ListRequest], faults: usize) -> Option<Self> {
         let mut next: Option<Self> = None;
         for request in requests {
             let list = next.as_ref().unwrap_or(self);
@@ -243,13 +243,13 @@
         let mut ranked: Vec<usize> = (0..self.keepers.len()).collect();
         ranked.sort_by_key(|&at| std::cmp::Reverse(weight(&self.keepers[at].node, program)));
         let count = 2 * faults + 1;
-        let set = |without: Standing| -> Vec<usize> {
+        let set = |without: MemberState| -> Vec<usize> {
             let in_list = ranked.iter().copied();
             let in_list = in_list.filter(|&at| self.keepers[at].standing != without);
             in_list.take(count).collect()
         };
-        let before = set(Standing::Joining);
-        let after = set(Standing::Leaving);
+        let before = set(MemberState::Joining);
+        let after = set(MemberState::Leaving);
         let keepers = ranked
             .iter()
             .copied()
@@ -267,7 +267,7 @@
     /// joined no turn is stored, so a keeper that joins before has nothing to
     /// copy.
     pub fn join(&self, node: &str, address: SocketAddr, faults: usize) -> Option<Self> {
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         if let Some(at) = self.place(node) {
             if self.keepers[at].address == address {
                 return None;
@@ -279,9 +279,9 @@
             node: node.into(),
             address,
             standing: if self.open {
-                Standing::Joining
+                MemberState::Joining
             } else {
-                Standing::Member
+                MemberState::Member
             },
             ready: !self.open,
         });
@@ -293,7 +293,7 @@
     /// Once the keeper copies by the new epoch, requests by an older one are
     /// refused, so that its acknowledgements from before the loss do not
     /// contribute to the majority of turns that other replicas have yet to store.
-    pub fn renew(&self) -> Self {
+    pub fn with_new_epoch(&self) -> Self {
         let mut next = self.clone();
         next.epoch += 1;
         next
@@ -303,14 +303,14 @@
     /// joining; `None` if it is leaving already or not listed.
     pub fn leave(&self, node: &str) -> Option<Self> {
         let at = self.place(node)?;
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         next.moved = next.epoch;
         match self.keepers[at].standing {
-            Standing::Leaving => return None,
-            Standing::Joining => {
+            MemberState::Leaving => return None,
+            MemberState::Joining => {
                 next.keepers.remove(at);
             }
-            Standing::Member => next.keepers[at].standing = Standing::Leaving,
+            MemberState::Member => next.keepers[at].standing = MemberState::Leaving,
         }
         // The remaining keepers may be assigned programs that they did not store
         // before.
@@ -327,14 +327,14 @@
         if self.keepers[at].ready || !self.is_changing() {
             return None;
         }
-        let mut next = self.renew();
+        let mut next = self.with_new_epoch();
         next.keepers[at].ready = true;
         let mut after = next.keepers.iter();
-        if after.all(|keeper| keeper.ready || keeper.standing == Standing::Leaving) {
+        if after.all(|keeper| keeper.ready || keeper.standing == MemberState::Leaving) {
             next.keepers
-                .retain(|keeper| keeper.standing != Standing::Leaving);
+                .retain(|keeper| keeper.standing != MemberState::Leaving);
             for keeper in &mut next.keepers {
-                keeper.standing = Standing::Member;
+                keeper.standing = MemberState::Member;
             }
         }
         Some(next)
@@ -344,5 +344,5 @@
 /// Rendezvous hashing: the keepers with the largest weights store the program,
 /// so a change of the list moves the minimum of programs.
 fn weight(node: &str, program: &str) -> u64 {
-    hash::spread(node.bytes().chain([0]).chain(program.bytes()))
+    hash::mixed_fnv(node.bytes().chain([0]).chain(program.bytes()))
 }
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -15,7 +15,7 @@
 use crate::code::Code;
 use crate::document::Documents;
 use crate::effect::Effect;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::history::Turn;
 use crate::id::Boot;
 use crate::id::CallId;
@@ -28,8 +28,8 @@
 use crate::id::ProgramId;
 use crate::id::ShardId;
 use crate::member::Members;
+use crate::message::AnswerEnd;
 use crate::message::Change;
-use crate::message::Ending;
 use crate::message::Message;
 use crate::message::ProgramView;
 use crate::message::Reply;
@@ -42,13 +42,13 @@
 use crate::placement::MAX_FULL_SCAN;
 use crate::program::CallRecord;
 use crate::program::CallRequest;
+use crate::program::HistoryMode;
 use crate::program::ProgramCopy;
 use crate::program::ProgramHead;
-use crate::program::Supply;
 use crate::program::Target;
 use crate::rules::Rules;
-use crate::shard::Assignment;
-use crate::shard::ShardMap;
+use crate::shard_map::Assignment;
+use crate::shard_map::ShardMap;
 use crate::time::Time;
 
 /// Bytes of JSON text that are estimated as one token when tokens are
@@ -57,9 +57,9 @@
 
 /// Limit of unacknowledged changes per shard. Beyond it they are dropped and
 /// the keeper gets a full copy instead.
-pub(crate) const MAX_UNKEPT: usize = 10_000;
+pub(crate) const MAX_UNACKED: usize = 10_000;
 
-/// What [`Owner`] and [`crate::front::Front`] read besides their own state,
+/// What [`Owner`] and [`crate::callers::Front`] read besides their own state,
 /// and the list that their effects are appended to.
 pub(crate) struct Context<'a> {
     pub now: Time,
@@ -79,8 +79,8 @@
         });
     }
 
-    pub(crate) fn note(&mut self, note: Note) {
-        self.out.push(Effect::Note(note));
+    pub(crate) fn log(&mut self, event: LogEvent) {
+        self.out.push(Effect::Log(event));
     }
 }
 
@@ -90,13 +90,13 @@
     /// Waits for the keeper's copy.
     Adopting,
     /// All programs of the shard are loaded.
-    Whole,
+    Loaded,
 }
 
 /// A submission that waits for the result of a call: the entry that sent it,
 /// and its ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Watcher {
+pub(crate) struct Subscriber {
     pub node: NodeId,
     pub ticket: Ticket,
 }
@@ -105,7 +105,7 @@
 /// complete.
 #[derive(Clone, Debug)]
 pub(crate) struct ParkedRequest {
-    pub(crate) watcher: Watcher,
+    pub(crate) subscriber: Subscriber,
     pub(crate) request: Request,
     pub(crate) offset: u64,
 }
@@ -121,16 +121,16 @@
 
 /// An action that is deferred until the keeper has acknowledged a change.
 #[derive(Clone, Debug)]
-pub(crate) enum Step {
+pub(crate) enum DeferredAction {
     Dispatch(CallId),
     Finish(CallId),
-    Refuse(Watcher, Refusal),
-    Answer(Watcher, ProgramId, Part),
+    Refuse(Subscriber, Refusal),
+    Answer(Subscriber, ProgramId, Part),
 }
 
 /// A shard that this process owns.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct OwnedShard {
     pub epoch: Epoch,
     pub keeper: Option<NodeId>,
     /// Epoch in which the keeper was chosen.
@@ -138,14 +138,14 @@
     pub phase: Phase,
     pub since: Time,
     /// Whether the keeper reported that it has no complete copy.
-    pub hopeless: bool,
+    pub keeper_has_no_copy: bool,
     /// Whether both copies of the shard were lost at some time, and with them
     /// the records of single calls.
     pub copies_lost: bool,
     pub(crate) seq: u64,
     /// Changes that the keeper has not acknowledged, by sequence number.
-    pub(crate) unkept: VecDeque<(u64, Change)>,
-    pub(crate) steps: VecDeque<(u64, Step)>,
+    pub(crate) unacked: VecDeque<(u64, Change)>,
+    pub(crate) deferred: VecDeque<(u64, DeferredAction)>,
     pub(crate) parked: Vec<ParkedRequest>,
     /// The part of the keeper's copy that has arrived so far.
     pub(crate) incoming: BTreeMap<ProgramId, ProgramCopy>,
@@ -153,10 +153,10 @@
     pub(crate) gap: bool,
     /// When the wait for the next acknowledgement began; `None` if all changes
     /// are acknowledged.
-    pub(crate) waiting: Option<Time>,
+    pub(crate) ack_wait_since: Option<Time>,
 }
 
-impl Held {
+impl OwnedShard {
     pub(crate) fn new(now: Time, assignment: &Assignment, phase: Phase) -> Self {
         Self {
             epoch: assignment.epoch,
@@ -164,33 +164,33 @@
             chosen: assignment.chosen,
             phase,
             since: now,
-            hopeless: false,
+            keeper_has_no_copy: false,
             copies_lost: assignment.lost.0 > 0,
             seq: 0,
-            unkept: VecDeque::new(),
-            steps: VecDeque::new(),
+            unacked: VecDeque::new(),
+            deferred: VecDeque::new(),
             parked: Vec::new(),
             incoming: BTreeMap::new(),
             gap: false,
-            waiting: None,
+            ack_wait_since: None,
         }
     }
 
     /// Returns whether the keeper has acknowledged all changes.
     fn is_replicated(&self) -> bool {
-        let loaded = self.phase == Phase::Whole && self.keeper.is_some();
-        loaded && !self.gap && self.unkept.is_empty()
+        let loaded = self.phase == Phase::Loaded && self.keeper.is_some();
+        loaded && !self.gap && self.unacked.is_empty()
     }
 
     /// Returns whether the wait for an acknowledgement has exceeded its limit.
-    pub(crate) fn is_stuck(&self, cx: &Context<'_>) -> bool {
-        self.phase == Phase::Whole && self.unkept_for(cx.now) >= cx.rules.alone_wait()
+    pub(crate) fn has_ack_timed_out(&self, cx: &Context<'_>) -> bool {
+        self.phase == Phase::Loaded && self.ack_wait(cx.now) >= cx.rules.ack_timeout()
     }
 
     /// Returns how long the wait for the next acknowledgement has lasted; zero
     /// if all changes are acknowledged.
-    pub(crate) fn unkept_for(&self, now: Time) -> Duration {
-        self.waiting
+    pub(crate) fn ack_wait(&self, now: Time) -> Duration {
+        self.ack_wait_since
             .map_or(Duration::ZERO, |since| now.since(since))
     }
 }
@@ -224,7 +224,7 @@
         since: Time,
     },
     /// Waits for the keeper to acknowledge the outcome.
-    Recording { outcome: Outcome },
+    PersistingOutcome { outcome: Outcome },
 }
 
 #[derive(Debug)]
@@ -236,7 +236,7 @@
     pub(crate) program: ProgramId,
     pub(crate) record: CallRecord,
     pub(crate) state: State,
-    pub(crate) watchers: Vec<Watcher>,
+    pub(crate) subscribers: Vec<Subscriber>,
     pub(crate) bytes: Vec<u8>,
     pub(crate) deadline: Time,
     /// Servers that refused the call.
@@ -254,7 +254,7 @@
 pub struct Owner {
     pub(crate) node: NodeId,
     pub(crate) rng: SmallRng,
-    pub(crate) shards: BTreeMap<ShardId, Held>,
+    pub(crate) shards: BTreeMap<ShardId, OwnedShard>,
     pub(crate) programs: BTreeMap<ProgramId, Program>,
     pub(crate) calls: BTreeMap<CallId, Call>,
     pub(crate) call_timers: BTreeSet<(Time, CallId)>,
@@ -295,12 +295,12 @@
     }
 
     /// Returns the number of open calls.
-    pub fn calls_open(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.calls.len()
     }
 
     /// Returns the number of programs.
-    pub fn programs_open(&self) -> usize {
+    pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
@@ -334,9 +334,9 @@
         for shard in shards {
             self.request_copy(cx, shard);
             if let Some(held) = self.shards.get(&shard)
-                && held.phase == Phase::Whole
+                && held.phase == Phase::Loaded
             {
-                self.resend_unkept(cx, shard, held);
+                self.resend_unacked(cx, shard, held);
             }
         }
         let mut to_query = Vec::new();
@@ -378,7 +378,8 @@
                 };
                 self.call_timers.insert((limit, *id));
             }
-            call.watchers.retain(|watcher| watcher.node != *node);
+            call.subscribers
+                .retain(|subscriber| subscriber.node != *node);
         }
     }
 
@@ -398,7 +399,7 @@
             self.program_timers.pop_first();
             self.on_program_timer(cx, id);
         }
-        self.go_on_alone(cx);
+        self.proceed_without_keeper(cx);
     }
 
     pub(crate) fn on_call_timer(&mut self, cx: &mut Context<'_>, id: CallId) {
@@ -408,7 +409,7 @@
         let late = call.deadline <= cx.now;
         match &call.state {
             State::AwaitingTurn if !late => {
-                let refusal = Refusal::with(Code::OutOfTurn, "an earlier call never came");
+                let refusal = Refusal::with_detail(Code::OutOfTurn, "an earlier call never came");
                 let none_running = self
                     .programs
                     .get(&call.program)
@@ -454,13 +455,13 @@
                     self.call_timers.insert((due, id));
                 }
             }
-            State::Recording { .. } => {}
+            State::PersistingOutcome { .. } => {}
         }
     }
 
     pub(crate) fn on_program_timer(&mut self, cx: &mut Context<'_>, id: ProgramId) {
         let shard = id.shard(cx.rules.shards);
-        let adopting = |held: &Held| held.phase == Phase::Adopting;
+        let adopting = |held: &OwnedShard| held.phase == Phase::Adopting;
         let Some(program) = self.programs.get(&id) else {
             return;
         };
@@ -468,7 +469,7 @@
             return;
         }
         let head = &program.copy.head;
-        let ended = head.ended || id.is_single();
+        let ended = head.ended || id.is_single_call();
         let idle = cx
             .documents
             .rules(&head.operator, &head.deployment)
@@ -482,9 +483,9 @@
             self.program_timers.insert((retry_at, id));
         } else if ended {
             self.programs.remove(&id);
-            self.keep(cx, shard, Change::Forget(id));
+            self.replicate(cx, shard, Change::Forget(id));
         } else {
-            cx.note(Note::new("program_abandoned").with("program", id));
+            cx.log(LogEvent::new("program_abandoned").with("program", id));
             self.end_subtree(cx, shard, id);
             self.program_timers
                 .insert((cx.now + cx.rules.retention(), id));
@@ -494,7 +495,7 @@
 
 impl Call {
     pub(crate) fn is_refused(&self) -> bool {
-        matches!(&self.state, State::Recording { outcome } if outcome.is_not_run())
+        matches!(&self.state, State::PersistingOutcome { outcome } if outcome.is_not_run())
     }
 }
 
@@ -531,20 +532,20 @@
 /// Returns whether a call needs no record: the caller cannot send it again,
 /// and it is safe to run twice.
 pub(crate) fn is_stateless(call: &CallRequest) -> bool {
-    call.program.is_single() && call.idempotent && !call.keyed
+    call.program.is_single_call() && call.idempotent && !call.keyed
 }
 
-pub(crate) fn reply(cx: &mut Context<'_>, watcher: &Watcher, reply: Reply) {
+pub(crate) fn reply(cx: &mut Context<'_>, subscriber: &Subscriber, reply: Reply) {
     let message = Message::Reply {
-        ticket: watcher.ticket,
+        ticket: subscriber.ticket,
         reply,
     };
-    cx.send(&watcher.node, message);
+    cx.send(&subscriber.node, message);
 }
 
 pub(crate) fn send_bytes(
     cx: &mut Context<'_>,
-    watcher: &Watcher,
+    subscriber: &Subscriber,
     attempt: u64,
     bytes: &[u8],
     offset: u64,
@@ -553,19 +554,19 @@
         return;
     };
     let message = Message::Chunk {
-        ticket: watcher.ticket,
+        ticket: subscriber.ticket,
         attempt,
         offset,
         bytes: rest.to_vec(),
     };
-    cx.send(&watcher.node, message);
+    cx.send(&subscriber.node, message);
 }
 
 pub(crate) fn ending_reply(record: &CallRecord, outcome: &Outcome, digest: Digest) -> Reply {
     match outcome {
         Outcome::Answer(Answer {
             status, kind, body, ..
-        }) => Reply::Ended(Ending {
+        }) => Reply::Ended(AnswerEnd {
             call: record.call,
             number: record.number,
             attempt: record.attempt,
@@ -610,7 +611,7 @@
         program: copy.program,
         head: Box::new(copy.head.clone()),
         above,
-        record: record.map(|record| Box::new(record.slim())),
+        record: record.map(|record| Box::new(record.without_messages())),
         turns,
         replace,
     }
@@ -636,7 +637,7 @@
     match request.target {
         Target::Service { .. } => 0,
         Target::Model(_) => {
-            let old = if request.supply == Supply::Full {
+            let old = if request.supply == HistoryMode::Full {
                 0
             } else {
                 history
--- a/lib/src/spending.rs
+++ b/lib/src/rate_limiter.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 use crate::allowance::AllowanceBounds;
+use crate::allowance::KeeperDecision;
 use crate::allowance::PendingRequest;
 use crate::allowance::ProcessStart;
-use crate::allowance::Ruling;
 use crate::allowance::Shortage;
-use crate::allowance::Use;
-use crate::allowance::UseReply;
+use crate::allowance::UsageReply;
+use crate::allowance::UsageReport;
 use crate::hash;
-use crate::recent::SlidingWindow;
+use crate::sliding_window::SlidingWindow;
 use crate::time::Time;
 use crate::workspace::Allowance;
 use crate::workspace::Workspace;
@@ -114,8 +114,8 @@
         workspace: &str,
         programs: Vec<u64>,
         young: bool,
-    ) -> Use {
-        Use {
+    ) -> UsageReport {
+        UsageReport {
             workspace: workspace.into(),
             limit: bounds.limit(&self.allowance),
             reserve: bounds.reserve(&self.allowance),
@@ -144,7 +144,7 @@
 
 /// A gateway's counts of all workspaces.
 #[derive(Clone, Debug)]
-pub struct Spending {
+pub struct RateLimiter {
     bounds: AllowanceBounds,
     /// Whether new programs are refused before requests of running ones.
     by_programs: bool,
@@ -157,14 +157,14 @@
 
 /// The keepers that count the requests of a workspace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct InCharge {
+pub struct ResponsibleKeepers {
     /// The responsible keeper.
     pub keeper: Option<ProcessStart>,
     /// Its standbys, as many as the number of keepers that may fail at once.
-    pub others: Vec<ProcessStart>,
+    pub standbys: Vec<ProcessStart>,
 }
 
-impl Spending {
+impl RateLimiter {
     /// Creates the counts of a gateway that starts `now`.
     pub fn new(bounds: AllowanceBounds, by_programs: bool, now: Time) -> Self {
         Self {
@@ -182,16 +182,21 @@
     /// once. A keeper that has just started lacks the reports of gateways that have
     /// failed or are cut off from it, so it is only a standby until it has received
     /// reports for a whole window, unless there is no other keeper.
-    pub fn in_charge(&self, now: Time, order: &[ProcessStart], faults: usize) -> InCharge {
+    pub fn responsible_keepers(
+        &self,
+        now: Time,
+        order: &[ProcessStart],
+        faults: usize,
+    ) -> ResponsibleKeepers {
         let is_incomplete = |keeper: &&ProcessStart| {
             let until = self.incomplete_until.get(*keeper);
             until.is_some_and(|until| now < *until)
         };
         let complete = order.iter().find(|keeper| !is_incomplete(keeper));
         let keeper = complete.or(order.first()).cloned();
-        let others = order.iter().filter(|other| Some(*other) != keeper.as_ref());
-        InCharge {
-            others: others.take(faults).cloned().collect(),
+        let standbys = order.iter().filter(|other| Some(*other) != keeper.as_ref());
+        ResponsibleKeepers {
+            standbys: standbys.take(faults).cloned().collect(),
             keeper,
         }
     }
@@ -207,7 +212,7 @@
     ) -> Decision {
         let bounds = self.bounds;
         let program = program.filter(|_| self.by_programs);
-        let program = program.map(|id| hash::spread(id.bytes()));
+        let program = program.map(|id| hash::mixed_fnv(id.bytes()));
         let account = self.account(now, workspace, allowance);
         if now < account.full_until {
             return Decision::Over(Shortage::Requests, account.full_until.since(now));
@@ -275,7 +280,7 @@
     /// Returns whether the responsible keeper of a workspace lacks requests of this
     /// gateway: some were sent since the last acknowledged report, or the last
     /// report went to another keeper.
-    pub fn is_untold(&self, workspace: &str, keeper: &ProcessStart) -> bool {
+    pub fn has_unreported(&self, workspace: &str, keeper: &ProcessStart) -> bool {
         let account = self.accounts.get(workspace);
         account.is_some_and(|account| {
             account.unacknowledged_since.is_some() || account.reported_to.as_ref() != Some(keeper)
@@ -284,13 +289,13 @@
 
     /// Returns the report to `keeper` on a workspace; `wants` is the request that
     /// needs permission, if there is one.
-    pub fn tell(
+    pub fn report(
         &mut self,
         now: Time,
         workspace: &str,
         keeper: &ProcessStart,
         wants: Option<&Counted>,
-    ) -> Option<Use> {
+    ) -> Option<UsageReport> {
         let young = self.has_just_started(now);
         let bounds = self.bounds;
         let account = self.accounts.get_mut(workspace)?;
@@ -307,7 +312,7 @@
     /// Returns the report to the standbys on a workspace, if it is near its limit.
     /// A standby that takes over then has complete counts at once, including those
     /// of gateways that have failed or are cut off by then.
-    pub fn copy(&mut self, now: Time, workspace: &str) -> Option<Use> {
+    pub fn standby_report(&mut self, now: Time, workspace: &str) -> Option<UsageReport> {
         let young = self.has_just_started(now);
         let bounds = self.bounds;
         let account = self.accounts.get_mut(workspace)?;
@@ -325,14 +330,20 @@
     }
 
     /// Records that a keeper did not reply, so that the report is repeated.
-    pub fn unheard(&mut self, workspace: &str) {
+    pub fn record_no_reply(&mut self, workspace: &str) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.reported_to = None;
         }
     }
 
     /// Applies a keeper's reply on a workspace.
-    pub fn hear(&mut self, now: Time, keeper: &ProcessStart, workspace: &str, reply: &UseReply) {
+    pub fn apply_reply(
+        &mut self,
+        now: Time,
+        keeper: &ProcessStart,
+        workspace: &str,
+        reply: &UsageReply,
+    ) {
         if !reply.young.is_zero() {
             self.incomplete_until.retain(|_, until| now < *until);
             self.incomplete_until
@@ -346,17 +357,17 @@
         account.others = reply.others.map(|others| (others, now));
         account.unacknowledged_since = None;
         match reply.ruling {
-            Some(Ruling::Full(after)) => account.full_until = now + after,
-            Some(Ruling::Closed { room, turn }) => {
+            Some(KeeperDecision::Full(after)) => account.full_until = now + after,
+            Some(KeeperDecision::Closed { room, turn }) => {
                 account.closed_until = now + room;
                 account.retry_at = now + turn;
             }
-            Some(Ruling::Go) | None => {}
+            Some(KeeperDecision::Go) | None => {}
         }
     }
 
     /// Records that a request is sent after permission was requested.
-    pub fn allow(&mut self, now: Time, counted: &Counted) {
+    pub fn record_permitted(&mut self, now: Time, counted: &Counted) {
         let account = self.accounts.get_mut(&counted.workspace);
         if let (Some(account), Some(program)) = (account, counted.pending.program) {
             account.record_program(now, program);
@@ -369,7 +380,7 @@
     ///
     /// Returns the time after which the caller should retry, through another
     /// gateway.
-    pub fn allow_alone(&mut self, now: Time, counted: &Counted) -> Result<(), Duration> {
+    pub fn decide_without_keeper(&mut self, now: Time, counted: &Counted) -> Result<(), Duration> {
         let gateways = self.gateways;
         let bounds = self.bounds;
         let Some(account) = self.accounts.get_mut(&counted.workspace) else {
@@ -379,12 +390,12 @@
         if account.own.total(now) > part {
             return Err(RETRY_AFTER);
         }
-        self.allow(now, counted);
+        self.record_permitted(now, counted);
         Ok(())
     }
 
     /// Uncounts a request that was counted but not sent.
-    pub fn give_back(&mut self, now: Time, counted: &Counted) {
+    pub fn uncount(&mut self, now: Time, counted: &Counted) {
         if let Some(account) = self.accounts.get_mut(&counted.workspace) {
             account.own.remove(now, counted.slot);
         }
--- a/lib/src/progress.rs
+++ b/lib/src/server_messages.rs
@@ -3,9 +3,9 @@
 use crate::code::Code;
 use crate::id::CallId;
 use crate::id::NodeId;
+use crate::message::AttemptStatus;
 use crate::message::Message;
-use crate::message::OrderFault;
-use crate::message::Standing;
+use crate::message::OrderRejection;
 use crate::outcome::Outcome;
 use crate::outcome::Refusal;
 use crate::owner::Call;
@@ -49,14 +49,14 @@
         }
         let new_bytes = &bytes[(received_len - offset) as usize..];
         call.bytes.extend_from_slice(new_bytes);
-        for watcher in &call.watchers {
+        for subscriber in &call.subscribers {
             let message = Message::Chunk {
-                ticket: watcher.ticket,
+                ticket: subscriber.ticket,
                 attempt,
                 offset: received_len,
                 bytes: new_bytes.to_vec(),
             };
-            cx.send(&watcher.node, message);
+            cx.send(&subscriber.node, message);
         }
     }
 
@@ -74,7 +74,7 @@
         if self.current_attempt(from, id, attempt).is_none() {
             return;
         }
-        self.conclude(cx, id, outcome);
+        self.record_outcome(cx, id, outcome);
     }
 
     pub(crate) fn order_refused(
@@ -83,12 +83,12 @@
         from: &NodeId,
         id: CallId,
         attempt: u64,
-        fault: OrderFault,
+        fault: OrderRejection,
     ) {
         if self.current_attempt(from, id, attempt).is_none() {
             return;
         }
-        if fault == OrderFault::Late {
+        if fault == OrderRejection::Late {
             let program = self
                 .calls
                 .get(&id)
@@ -99,7 +99,7 @@
             } else {
                 Code::DeadlinePassed
             };
-            self.conclude(cx, id, Outcome::refused(code));
+            self.record_outcome(cx, id, Outcome::refused(code));
             return;
         }
         self.retry_on_other_server(cx, id, from.clone());
@@ -128,7 +128,7 @@
         } else if call.request.is_none() {
             // The call was taken over and its caller has not sent it again.
             // It ends as not run, so the caller may send it again later.
-            self.conclude(cx, id, Outcome::refused(Code::NoOwner));
+            self.record_outcome(cx, id, Outcome::refused(Code::NoOwner));
         } else if call.tried.len() >= cx.rules.tries as usize {
             self.refuse(cx, id, Refusal::new(Code::Overloaded));
         } else {
@@ -142,19 +142,19 @@
         from: &NodeId,
         id: CallId,
         attempt: u64,
-        standing: Standing,
+        standing: AttemptStatus,
     ) {
         let Some(call) = self.current_attempt(from, id, attempt) else {
             return;
         };
         match standing {
-            Standing::Open => {
+            AttemptStatus::Open => {
                 if let State::Settling { server, boot, .. } = call.state.clone() {
                     call.state = State::Running { server, boot };
                 }
             }
-            Standing::Sealed => self.retry_after_seal(cx, id),
-            Standing::OtherBoot => self.conclude_without_result(cx, id),
+            AttemptStatus::Sealed => self.retry_after_seal(cx, id),
+            AttemptStatus::OtherBoot => self.conclude_without_result(cx, id),
         }
     }
 
@@ -167,7 +167,7 @@
         };
         call.state = State::AwaitingAdmission;
         if call.request.is_none() {
-            self.conclude(cx, id, Outcome::refused(Code::NoOwner));
+            self.record_outcome(cx, id, Outcome::refused(Code::NoOwner));
         } else {
             self.place(cx, id);
         }
@@ -183,6 +183,6 @@
         } else {
             Code::OutcomeUnknown
         };
-        self.conclude(cx, id, Outcome::refused(code));
+        self.record_outcome(cx, id, Outcome::refused(code));
     }
 }
--- a/lib/src/assign.rs
+++ b/lib/src/shard_planner.rs
@@ -10,13 +10,13 @@
 use crate::member::Member;
 use crate::member::Role;
 use crate::owner::Context;
-use crate::owner::Held;
+use crate::owner::OwnedShard;
 use crate::owner::Owner;
 use crate::owner::Phase;
 use crate::rank;
-use crate::shard::Assignment;
-use crate::shard::BLOCK_SHARDS;
-use crate::shard::Block;
+use crate::shard_map::Assignment;
+use crate::shard_map::BLOCK_SHARDS;
+use crate::shard_map::Block;
 
 /// Minimum time that an entry owns a shard before it is moved for balance.
 const BALANCE_REST: Duration = Duration::from_secs(10);
@@ -55,7 +55,7 @@
         cx: &Context<'_>,
         shard: ShardId,
         current: &Assignment,
-        held: Option<&Held>,
+        held: Option<&OwnedShard>,
         moves: &mut usize,
     ) -> Option<Assignment> {
         let is_own = current.owner.as_ref() == Some(&self.node);
@@ -85,7 +85,7 @@
         let wait = cx.rules.takeover_wait();
         let free = match &current.owner {
             None => true,
-            Some(owner) => cx.members.is_silent(cx.now, owner, wait),
+            Some(owner) => cx.members.has_no_link_for(cx.now, owner, wait),
         };
         if !free || self.first_entry(cx, shard, false).as_ref() != Some(&self.node) {
             return None;
@@ -102,7 +102,7 @@
         cx: &Context<'_>,
         shard: ShardId,
         current: &Assignment,
-        held: &Held,
+        held: &OwnedShard,
         moves: &mut usize,
     ) -> Option<Assignment> {
         if held.phase == Phase::Adopting {
@@ -118,7 +118,7 @@
             }
         }
         let has_rested =
-            cx.now.since(held.since) >= BALANCE_REST && held.unkept_for(cx.now).is_zero();
+            cx.now.since(held.since) >= BALANCE_REST && held.ack_wait(cx.now).is_zero();
         if has_rested && *moves > 0 && current.keeper.is_some() {
             let best = self.first_entry(cx, shard, true)?;
             if best != self.node {
@@ -136,12 +136,12 @@
         cx: &Context<'_>,
         shard: ShardId,
         current: &Assignment,
-        held: &Held,
+        held: &OwnedShard,
     ) -> Option<Assignment> {
         let late = cx.now.since(held.since) >= cx.rules.cold_wait();
         let is_unlinked = |keeper: &NodeId| !cx.members.is_linked(keeper);
         let has_no_link = current.keeper.as_ref().is_none_or(is_unlinked);
-        if !(held.hopeless || late && has_no_link) {
+        if !(held.keeper_has_no_copy || late && has_no_link) {
             return None;
         }
         let keeper = self.choose_keeper(cx, shard, None);
@@ -161,13 +161,15 @@
         (new_owner != self.node).then(|| next(current, Some(new_owner), current.keeper.clone()))
     }
 
-    fn keeper_is_lost(&self, cx: &Context<'_>, current: &Assignment, held: &Held) -> bool {
+    fn keeper_is_lost(&self, cx: &Context<'_>, current: &Assignment, held: &OwnedShard) -> bool {
         let Some(keeper) = &current.keeper else {
             return true;
         };
         let wait = cx.rules.keeper_wait();
         let leaving = cx.members.get(keeper).is_some_and(Member::is_leaving);
-        leaving || cx.members.is_silent(cx.now, keeper, wait) || held.unkept_for(cx.now) >= wait * 2
+        leaving
+            || cx.members.has_no_link_for(cx.now, keeper, wait)
+            || held.ack_wait(cx.now) >= wait * 2
     }
 
     /// Returns the first-ranked entry for `shard` among the eligible ones; this
@@ -186,7 +188,7 @@
             let up = if in_service_only {
                 cx.members.in_service(cx.now, id)
             } else {
-                !cx.members.is_silent(cx.now, id, wait)
+                !cx.members.has_no_link_for(cx.now, id, wait)
             };
             member.node.role == Role::Entry && up && !member.is_leaving()
         };
--- a/lib/src/takeover.rs
+++ b/lib/src/takeover.rs
@@ -1,6 +1,6 @@
 //! Takeover of a shard from the keeper's copy, and release of a shard.
 
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::id::CallId;
 use crate::id::Epoch;
 use crate::id::NodeId;
@@ -9,16 +9,16 @@
 use crate::message::Reply;
 use crate::owner::Call;
 use crate::owner::Context;
-use crate::owner::Held;
+use crate::owner::DeferredAction;
+use crate::owner::OwnedShard;
 use crate::owner::Owner;
 use crate::owner::ParkedRequest;
 use crate::owner::Phase;
 use crate::owner::State;
-use crate::owner::Step;
 use crate::owner::reply;
 use crate::program::CallStage;
 use crate::program::ProgramCopy;
-use crate::shard::Assignment;
+use crate::shard_map::Assignment;
 
 impl Owner {
     /// Starts to own `shard` according to `assignment`. With `is_new`, there
@@ -32,14 +32,14 @@
     ) {
         self.release(cx, shard);
         let phase = if is_new {
-            Phase::Whole
+            Phase::Loaded
         } else {
             Phase::Adopting
         };
-        let held = Held::new(cx.now, assignment, phase);
+        let held = OwnedShard::new(cx.now, assignment, phase);
         self.shards.insert(shard, held);
         if is_new {
-            self.fill(cx, shard);
+            self.send_full_copy(cx, shard);
         } else {
             self.request_copy(cx, shard);
         }
@@ -57,14 +57,14 @@
         held.copies_lost = assignment.lost.0 > 0;
         if held.phase == Phase::Adopting {
             // Both copies are lost: the shard starts again without programs.
-            held.phase = Phase::Whole;
+            held.phase = Phase::Loaded;
             held.incoming.clear();
             let parked = std::mem::take(&mut held.parked);
-            self.fill(cx, shard);
+            self.send_full_copy(cx, shard);
             self.resume_parked(cx, shard, parked);
             return;
         }
-        self.fill(cx, shard);
+        self.send_full_copy(cx, shard);
     }
 
     pub(crate) fn request_copy(&mut self, cx: &mut Context<'_>, shard: ShardId) {
@@ -112,20 +112,20 @@
             return;
         }
         let Some(seq) = seq else {
-            held.hopeless = true;
+            held.keeper_has_no_copy = true;
             held.incoming.clear();
             return;
         };
         held.seq = seq;
-        held.phase = Phase::Whole;
+        held.phase = Phase::Loaded;
         let incoming = std::mem::take(&mut held.incoming);
         let parked = std::mem::take(&mut held.parked);
         let count = incoming.len();
         for copy in incoming.into_values() {
             self.install_program(cx, shard, copy);
         }
-        cx.note(
-            Note::new("shard_adopted")
+        cx.log(
+            LogEvent::new("shard_adopted")
                 .with("shard", shard)
                 .with("epoch", epoch)
                 .with("programs", count),
@@ -140,7 +140,13 @@
         parked: Vec<ParkedRequest>,
     ) {
         for request in parked {
-            self.accept(cx, shard, request.watcher, request.request, request.offset);
+            self.accept(
+                cx,
+                shard,
+                request.subscriber,
+                request.request,
+                request.offset,
+            );
         }
     }
 
@@ -174,7 +180,7 @@
                 boot,
                 since: cx.now,
             },
-            watchers: Vec::new(),
+            subscribers: Vec::new(),
             bytes: Vec::new(),
             deadline: cx.now + cx.rules.retention(),
             tried: Vec::new(),
@@ -217,11 +223,13 @@
             return;
         };
         for request in held.parked {
-            reply(cx, &request.watcher, Reply::Moved);
+            reply(cx, &request.subscriber, Reply::Moved);
         }
-        for (_, step) in held.steps {
-            if let Step::Answer(watcher, _, _) | Step::Refuse(watcher, _) = step {
-                reply(cx, &watcher, Reply::Moved);
+        for (_, step) in held.deferred {
+            if let DeferredAction::Answer(subscriber, _, _)
+            | DeferredAction::Refuse(subscriber, _) = step
+            {
+                reply(cx, &subscriber, Reply::Moved);
             }
         }
         let calls: Vec<CallId> = self
@@ -241,8 +249,8 @@
             } else {
                 self.admission.remove_queued(&key, id);
             }
-            for watcher in &call.watchers {
-                reply(cx, watcher, Reply::Moved);
+            for subscriber in &call.subscribers {
+                reply(cx, subscriber, Reply::Moved);
             }
         }
         let count = cx.rules.shards;
--- a/lib/tests/outlier.rs
+++ b/lib/tests/outlier.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use limpetferry_lib::criteria::Criteria;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::outlier::Health;
-use limpetferry_lib::server::Outcome;
 use limpetferry_lib::server::Server;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::server::ServerState;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::ServerKey;
-use limpetferry_lib::wish::Wish;
 
 const SERVERS: u16 = 6;
 /// Time of a successful answer; failures are immediate.
@@ -24,7 +24,7 @@
     for number in 0..SERVERS {
         fleet.put(Server {
             id: format!("server-{number}").into(),
-            born: None,
+            started_at: None,
             service: Arc::from("tool"),
             address: ([10, 0, 0, 1], 8_000 + number).into(),
             centre: Arc::from("here"),
@@ -46,7 +46,7 @@
 /// Sends requests for three seconds and returns the number at each server.
 fn serve(fleet: &mut Fleet, behaviour: impl Fn(&str, Time) -> Behaviour) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
-    let mut running: Vec<(Time, ServerKey, Outcome)> = Vec::new();
+    let mut running: Vec<(Time, ServerKey, ServerOutcome)> = Vec::new();
     let mut now = Time::default();
     for number in 0..1_500_u32 {
         now = now + INTERVAL;
@@ -55,21 +55,21 @@
         for (end, key, outcome) in Vec::from_iter::<Vec<_>>(over) {
             fleet.end(end, key, outcome);
         }
-        let wish = Wish {
+        let criteria = Criteria {
             centre: "here",
             draw: f64::from(number * 7 % 60) / 60.0,
-            ..Wish::default()
+            ..Criteria::default()
         };
-        let key = fleet.pick(now, "tool", &wish).expect("a server");
+        let key = fleet.pick(now, "tool", &criteria).expect("a server");
         let id = fleet.server(key).expect("known server").id.to_string();
-        let work = fleet.begin(now, key, &wish);
+        let work = fleet.begin(now, key, &criteria);
         running.push(match behaviour(&id, now) {
             Behaviour::Answer => {
                 fleet.plain_end(now, key, &work, WORK);
-                (now + WORK, key, Outcome::Answered)
+                (now + WORK, key, ServerOutcome::Answered)
             }
-            Behaviour::Fail => (now + INTERVAL, key, Outcome::Failed),
-            Behaviour::Hang => (now + Duration::from_secs(3), key, Outcome::Abandoned),
+            Behaviour::Fail => (now + INTERVAL, key, ServerOutcome::Failed),
+            Behaviour::Hang => (now + Duration::from_secs(3), key, ServerOutcome::Abandoned),
         });
         *counts.entry(id).or_insert(0) += 1;
     }
--- a/lib/tests/support/world.rs
+++ b/lib/tests/support/world.rs
@@ -17,11 +17,11 @@
 use limpetferry_lib::id::Operator;
 use limpetferry_lib::id::ShardId;
 use limpetferry_lib::id::Version;
-use limpetferry_lib::keeper::CopyRecord;
 use limpetferry_lib::member::Node;
 use limpetferry_lib::member::Role;
 use limpetferry_lib::message::Message;
 use limpetferry_lib::rules::Rules;
+use limpetferry_lib::shard_copies::CopyRecord;
 use limpetferry_lib::side;
 use limpetferry_lib::side::Side;
 use limpetferry_lib::time::Time;
@@ -134,7 +134,7 @@
                 format!("{effect:?}").replace(&format!("{other:?}"), &short(format!("{other:?}"))),
             )),
         },
-        Effect::Chunk { .. } | Effect::Note(_) => None,
+        Effect::Chunk { .. } | Effect::Log(_) => None,
         other => Some(short(format!("{other:?}"))),
     }
 }
@@ -347,7 +347,7 @@
                     let request = StoreRequest::Swap(revision, value);
                     self.store.enqueue(id.clone(), request);
                 }
-                Effect::Reread { .. } => {
+                Effect::ReadBlock { .. } => {
                     self.store.enqueue(id.clone(), StoreRequest::Read);
                 }
                 Effect::Start {
@@ -363,7 +363,7 @@
                     self.backends.caches.remove(&(id.clone(), program));
                 }
                 Effect::Store(record) => self.processes[index].disk.push(*record),
-                Effect::Note(_) => {}
+                Effect::Log(_) => {}
             }
         }
     }
@@ -439,7 +439,7 @@
             Action::LoseReply(pick) => self.store.lost_replies = u32::from(pick % 2),
             Action::Leave(pick) => {
                 let index = ENTRIES + usize::from(pick) % SIDES;
-                self.side_event(index, side::Event::Leave);
+                self.side_event(index, side::Event::ShutDown);
             }
             Action::DuplicateNotification(pick) => self.duplicate_notification(pick),
             Action::FailRun(pick) => self.fail_run(pick),
--- a/net/src/attempt.rs
+++ b/net/src/attempt.rs
@@ -9,17 +9,17 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use limpetferry_lib::call::Part;
-use limpetferry_lib::dispatch_queue::Waiting;
+use limpetferry_lib::criteria::Criteria;
+use limpetferry_lib::criteria::ServerKey;
+use limpetferry_lib::dispatch_queue::QueuedRequest;
 use limpetferry_lib::pace::WaitKey;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::routing::Kind;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::server::ServerOutcome;
+use limpetferry_lib::service_time::RequestConditions;
 use limpetferry_lib::service_time::Span;
-use limpetferry_lib::service_time::Work;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::urgency;
-use limpetferry_lib::wish::ServerKey;
-use limpetferry_lib::wish::Wish;
 use limpetferry_platform::header;
 use limpetferry_platform::header::Dispatch;
 
@@ -57,7 +57,7 @@
     keep: Option<Duration>,
     over: bool,
     /// What the request met at the server.
-    work: Work,
+    work: RequestConditions,
     /// When it was sent.
     sent: Time,
     /// Its wait for the first part of its answer.
@@ -133,12 +133,12 @@
         let now = self.gateway.clock.now();
         let mut known = self.gateway.site.known();
         let place = known.fleet.place(self.key, part)?;
-        known.fleet.take_places(now, &[place]);
+        known.fleet.apply_places(now, &[place]);
         Some(place)
     }
 
     /// Ends the request; the connection is kept if it may be used again.
-    pub fn end(mut self, outcome: Outcome, reuse: bool) {
+    pub fn end(mut self, outcome: ServerOutcome, reuse: bool) {
         self.close(outcome);
         if let Some(sender) = self.sender.take().filter(|_| reuse) {
             let now = self.gateway.clock.now();
@@ -146,12 +146,12 @@
         }
     }
 
-    fn close(&mut self, outcome: Outcome) {
+    fn close(&mut self, outcome: ServerOutcome) {
         if !std::mem::replace(&mut self.over, true) {
             let now = self.gateway.clock.now();
             let mut known = self.gateway.site.known();
             if let Some(wait) = self.wait.take() {
-                known.fleet.give_up(now, self.key, wait);
+                known.fleet.abandon_wait(now, self.key, wait);
             }
             known.fleet.end(now, self.key, outcome);
             // The permit locks the queue, which locks the fleet.
@@ -165,7 +165,7 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        self.close(Outcome::Abandoned);
+        self.close(ServerOutcome::Abandoned);
     }
 }
 
@@ -188,11 +188,11 @@
 
 impl Failure {
     /// Returns what it says of its server.
-    pub fn outcome(&self) -> Outcome {
+    pub fn outcome(&self) -> ServerOutcome {
         match self {
-            Self::Late => Outcome::Abandoned,
-            Self::Silent => Outcome::Silent,
-            _ => Outcome::Broken,
+            Self::Late => ServerOutcome::Abandoned,
+            Self::Silent => ServerOutcome::Silent,
+            _ => ServerOutcome::Broken,
         }
     }
 
@@ -219,12 +219,12 @@
 }
 
 impl Job {
-    fn wish<'a>(&'a self, tried: &'a [ServerKey]) -> Wish<'a> {
-        Wish {
+    fn wish<'a>(&'a self, tried: &'a [ServerKey]) -> Criteria<'a> {
+        Criteria {
             parts: &self.call.parts,
             object: self.call.object.as_deref(),
             tried,
-            connected: None,
+            idle_connections: None,
             centre: &self.gateway.centre,
             draw: rand::random(),
         }
@@ -236,8 +236,8 @@
             // servers that are gone are closed.
             let known = self.gateway.site.known();
             let warm = self.gateway.pool.warm(self.now(), self.runs_once());
-            let wish = Wish {
-                connected: Some(&warm),
+            let wish = Criteria {
+                idle_connections: Some(&warm),
                 ..self.wish(tried)
             };
             known.fleet.pick(self.now(), &self.service, &wish)?
@@ -248,7 +248,7 @@
     /// Notes that the request goes to a server; `None` if it takes none.
     fn lease(&self, key: ServerKey) -> Option<Lease> {
         let mut known = self.gateway.site.known();
-        if !known.fleet.takes(key) {
+        if !known.fleet.is_ready(key) {
             return None;
         }
         let server = known.fleet.server(key)?.id.clone();
@@ -349,15 +349,15 @@
         if !dispatch.is_on() {
             return Ok(None);
         }
-        let usual = self.gateway.site.known().fleet.usual(&self.service);
-        let work = usual.min(self.route.target);
+        let usual = self.gateway.site.known().fleet.mean_answer(&self.service);
+        let work = usual.min(self.route.latency_target);
         let rank = urgency::queue_rank(self.priority(), self.remains());
         let asked = self.now();
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             workspace: self.caller.workspace().map(|one| one.name.clone()),
             rank,
-            since: self.start,
-            until: asked + self.left().saturating_sub(work + LEAST_LEFT),
+            arrived_at: self.start,
+            send_by: asked + self.left().saturating_sub(work + LEAST_LEFT),
             work,
             bytes: self.body.len(),
         };
@@ -367,7 +367,7 @@
             let refused = &self.gateway.meters.queue_refused;
             refused.with_label_values(&[rank.to_string()]).inc();
             if runs == 0 {
-                return Refusal::later(why.after(), why.to_string());
+                return Refusal::later(why.retry_after(), why.to_string());
             }
             Refusal::new(
                 StatusCode::BAD_GATEWAY,
@@ -461,9 +461,9 @@
     /// Returns whether a request that may have run `runs` times may run again.
     fn may_repeat(&self, runs: u32) -> bool {
         match self.route.kind {
-            Kind::Idempotent => runs < self.route.attempts,
+            Kind::Idempotent => runs < self.route.max_attempts,
             Kind::Once => false,
-            Kind::Stream { resumable } => resumable && runs <= self.route.attempts,
+            Kind::Stream { resumable } => resumable && runs <= self.route.max_attempts,
         }
     }
 
@@ -495,7 +495,7 @@
                 None => match self.gateway.pool.connect(address).await {
                     Ok(sender) => sender,
                     Err(error) => {
-                        lease.end(Outcome::Broken, false);
+                        lease.end(ServerOutcome::Broken, false);
                         return Err(Failure::NotSent(error.to_string()));
                     }
                 },
@@ -571,7 +571,7 @@
         let (head, body) = response.into_parts();
         let answer = header::decode_answer(head.status, &head.headers, &self.call.attempt);
         if !answer.own {
-            lease.end(Outcome::Broken, false);
+            lease.end(ServerOutcome::Broken, false);
             return Err(Failure::Unknown(
                 "an answer to another request came".to_owned(),
             ));
@@ -585,12 +585,15 @@
             let (outcome, failure) = match head.status {
                 StatusCode::MISDIRECTED_REQUEST => {
                     let why = "another server has its address";
-                    (Outcome::Replaced, Failure::NotRun(why))
+                    (ServerOutcome::Replaced, Failure::NotRun(why))
                 }
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                    (Outcome::Full, Failure::Full)
+                    (ServerOutcome::Full, Failure::Full)
                 }
-                _ => (Outcome::Full, Failure::NotRun("it takes no such request")),
+                _ => (
+                    ServerOutcome::Full,
+                    Failure::NotRun("it takes no such request"),
+                ),
             };
             lease.end(outcome, false);
             return Err(failure);
@@ -598,7 +601,7 @@
         let success = head.status.is_success();
         let promise = [408, 421, 429, 503].contains(&head.status.as_u16());
         if answer.encoded || (success && !answer.signed) || promise {
-            lease.end(Outcome::Broken, false);
+            lease.end(ServerOutcome::Broken, false);
             return Err(Failure::Unknown(format!(
                 "an answer with status {} that cannot be passed on",
                 head.status.as_u16()
@@ -628,7 +631,7 @@
     /// Returns the rank of the request among those of its server.
     fn urgency(&self) -> Option<u8> {
         let engine = matches!(self.route.kind, Kind::Stream { .. });
-        engine.then(|| urgency::rank(self.priority(), self.remains()))
+        engine.then(|| urgency::engine_rank(self.priority(), self.remains()))
     }
 
     /// Returns what remains of its program's time.
--- a/net/src/dispatch.rs
+++ b/net/src/dispatch.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use limpetferry_lib::concurrency::Concurrency;
+use limpetferry_lib::concurrency_limit::ConcurrencyLimit;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::dispatch_queue::DispatchQueue;
 use limpetferry_lib::dispatch_queue::EntryKey;
 use limpetferry_lib::dispatch_queue::QueueBounds;
 use limpetferry_lib::dispatch_queue::QueueRefusal;
-use limpetferry_lib::dispatch_queue::Waiting;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::dispatch_queue::QueuedRequest;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::fleet::Fleet;
 use limpetferry_lib::fleet::Room;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::ServerKey;
 
 use crate::clock::Clock;
 use crate::site::Site;
@@ -42,7 +42,7 @@
 }
 
 struct ServiceQueue {
-    limit: Concurrency,
+    limit: ConcurrencyLimit,
     queue: DispatchQueue<Sender<Verdict>>,
     /// Requests at each server.
     servers: BTreeMap<ServerKey, u32>,
@@ -85,8 +85,8 @@
 
 impl QueueState {
     /// Returns its line.
-    pub fn note(&self) -> Note {
-        Note::new("queued")
+    pub fn note(&self) -> LogEvent {
+        LogEvent::new("queued")
             .with("service", &self.service)
             .with("length", self.length)
             .with("oldest_ms", self.oldest.as_millis())
@@ -101,7 +101,7 @@
     service: Arc<str>,
     server: Option<ServerKey>,
     since: Time,
-    outcome: Outcome,
+    outcome: ServerOutcome,
 }
 
 impl Permit {
@@ -114,7 +114,7 @@
     }
 
     /// Gives the right back, and says how the request ended.
-    pub fn end(mut self, outcome: Outcome) {
+    pub fn end(mut self, outcome: ServerOutcome) {
         self.outcome = outcome;
     }
 }
@@ -220,9 +220,9 @@
     pub async fn enter(
         self: &Arc<Self>,
         service: &Arc<str>,
-        waiting: Waiting,
+        waiting: QueuedRequest,
     ) -> Result<Permit, QueueRefusal> {
-        let left = waiting.until.since(self.clock.now());
+        let left = waiting.send_by.since(self.clock.now());
         let (sender, verdict) = async_channel::bounded(1);
         let (key, after) = match self.arrive(service, waiting, sender)? {
             Arrival::Goes(permit) => return Ok(permit),
@@ -236,14 +236,14 @@
         self.pump(service);
         match within(left, verdict.recv()).await {
             Some(Ok(verdict)) => verdict,
-            Some(Err(_)) | None => Err(QueueRefusal::Late { after }),
+            Some(Err(_)) | None => Err(QueueRefusal::Late { retry_after: after }),
         }
     }
 
     fn arrive(
         self: &Arc<Self>,
         service: &Arc<str>,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         sender: Sender<Verdict>,
     ) -> Result<Arrival, QueueRefusal> {
         let now = self.clock.now();
@@ -259,10 +259,10 @@
         }
         let rate = queue.limit.rate(now);
         let pushed = queue.queue.push(now, waiting, rate, sender)?;
-        let after = queue.queue.come_back(rate);
+        let after = queue.queue.retry_after(rate);
         drop(services);
         for displaced in pushed.displaced {
-            tell(&displaced, Err(QueueRefusal::Full { after }));
+            tell(&displaced, Err(QueueRefusal::Full { retry_after: after }));
         }
         let key = pushed.key;
         Ok(Arrival::Waits { key, after })
@@ -289,7 +289,7 @@
         services
             .entry(service.clone())
             .or_insert_with(|| ServiceQueue {
-                limit: Concurrency::default(),
+                limit: ConcurrencyLimit::default(),
                 queue: DispatchQueue::new(bounds),
                 servers: BTreeMap::new(),
                 timer: None,
@@ -302,7 +302,7 @@
             service: service.clone(),
             server: None,
             since: now,
-            outcome: Outcome::Abandoned,
+            outcome: ServerOutcome::Abandoned,
         }
     }
 
@@ -310,7 +310,7 @@
     fn leave(self: &Arc<Self>, permit: &Permit) {
         let now = self.clock.now();
         let room = self.site.known().fleet.room(now, &permit.service, None);
-        let places = room.map_or(0, |room| room.places);
+        let places = room.map_or(0, |room| room.capacity);
         let mut services = self.services();
         let queue = self.queue(&mut services, &permit.service);
         if let Some(key) = permit.server
@@ -326,7 +326,7 @@
             .limit
             .end(now, permit.since, permit.outcome, places, wait);
         if queue.queue.is_empty() {
-            queue.limit.relax(now);
+            queue.limit.lift_if_idle(now);
             return;
         }
         drop(services);
@@ -345,9 +345,9 @@
         let lost = queue.lost(now, &known.fleet);
         let silence = known.fleet.silence(service);
         drop(known);
-        let after = queue.queue.come_back(queue.limit.rate(now));
+        let after = queue.queue.retry_after(queue.limit.rate(now));
         for late in queue.queue.expire(now) {
-            told.push((late, Err(QueueRefusal::Late { after })));
+            told.push((late, Err(QueueRefusal::Late { retry_after: after })));
         }
         while queue.is_open(room, lost)
             && let Some(next) = queue.queue.pop(now)
@@ -355,7 +355,7 @@
             queue.limit.begin();
             told.push((next, Ok(self.permit(now, service))));
         }
-        let opens = room.and_then(|room| room.opens);
+        let opens = room.and_then(|room| room.available_at);
         // A server that dies says nothing; its requests are lost after a while.
         let due = opens.unwrap_or(now + silence);
         let planned = queue.timer.filter(|&due| due > now);
--- a/net/src/entry_node.rs
+++ b/net/src/entry_node.rs
@@ -15,17 +15,17 @@
 use limpetferry_lib::document::Documents;
 use limpetferry_lib::effect::CallerKey;
 use limpetferry_lib::effect::Effect;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
 use limpetferry_lib::entry::Entry;
 use limpetferry_lib::entry::Event;
 use limpetferry_lib::id::Boot;
 use limpetferry_lib::id::NodeId;
-use limpetferry_lib::member::Listed;
 use limpetferry_lib::member::Node;
 use limpetferry_lib::member::Role;
+use limpetferry_lib::member::VmState;
 use limpetferry_lib::message::Reply;
 use limpetferry_lib::message::Request;
-use limpetferry_lib::shard::Block;
+use limpetferry_lib::shard_map::Block;
 
 use crate::clock::Clock;
 use crate::http::Bounds;
@@ -225,7 +225,7 @@
     metrics.set_ready(true);
     crate::log::note(
         common.node.as_str(),
-        &Note::new("started").with("boot", boot),
+        &LogEvent::new("started").with("boot", boot),
     );
 
     let task = Task::new(&handle, boot);
@@ -234,7 +234,7 @@
     // that none is left.
     drop(end);
     let _ = store.delete(&keys::node(&common.node)).await;
-    crate::log::note(common.node.as_str(), &Note::new("stopped"));
+    crate::log::note(common.node.as_str(), &LogEvent::new("stopped"));
     Ok(())
 }
 
@@ -316,15 +316,15 @@
         let alone = !self.entry.members().iter().any(|member| {
             member.node.role == Role::Entry && member.boot().is_some() && !member.is_leaving()
         });
-        let given = self.entry.shards_held() == 0 || alone;
+        let given = self.entry.shards_owned() == 0 || alone;
         if given && self.entry.is_idle() {
             return true;
         }
         let over = since.elapsed() >= limit;
         if over {
-            let note = Note::new("stop_cut_short")
-                .with("callers", self.entry.front().len())
-                .with("shards", self.entry.shards_held());
+            let note = LogEvent::new("stop_cut_short")
+                .with("callers", self.entry.callers().len())
+                .with("shards", self.entry.shards_owned());
             crate::log::note(self.handle.settings.common.node.as_str(), &note);
         }
         over
@@ -404,7 +404,9 @@
             let event = match event {
                 PeerEvent::Up { node, boot } => Event::LinkUp { node, boot },
                 PeerEvent::Down { node, why } => {
-                    let note = Note::new("link_down").with("peer", &node).with("why", why);
+                    let note = LogEvent::new("link_down")
+                        .with("peer", &node)
+                        .with("why", why);
                     crate::log::note(self.handle.settings.common.node.as_str(), &note);
                     Event::LinkDown { node }
                 }
@@ -452,8 +454,8 @@
                 revision,
                 value,
             } => self.swap(block, revision, value),
-            Effect::Reread { block } => self.reread(block),
-            Effect::Note(note) => {
+            Effect::ReadBlock { block } => self.reread(block),
+            Effect::Log(note) => {
                 crate::log::note(self.handle.settings.common.node.as_str(), &note);
             }
             // For side processes only.
@@ -503,12 +505,14 @@
 
     fn measure(&self) {
         let metrics = &self.handle.metrics;
-        metrics.waiting.set(self.entry.front().len() as i64);
-        metrics.calls.set(self.entry.owner().calls_open() as i64);
+        metrics.waiting.set(self.entry.callers().len() as i64);
+        metrics
+            .calls
+            .set(self.entry.owner().open_call_count() as i64);
         metrics
             .programs
-            .set(self.entry.owner().programs_open() as i64);
-        metrics.shards.set(self.entry.shards_held() as i64);
+            .set(self.entry.owner().program_count() as i64);
+        metrics.shards.set(self.entry.shards_owned() as i64);
         metrics.kept.set(self.entry.owner().shards_kept() as i64);
         metrics.links.set(self.links.len() as i64);
         metrics.store_calls.set(self.handle.store.calls() as i64);
@@ -555,7 +559,7 @@
         .common
         .rules
         .shards
-        .div_ceil(limpetferry_lib::shard::BLOCK_SHARDS);
+        .div_ceil(limpetferry_lib::shard_map::BLOCK_SHARDS);
     for block in 0..blocks {
         let key = keys::block(block);
         let item = items.iter().find(|item| item.key == key);
@@ -622,15 +626,15 @@
             .collect();
         handle.event(Event::Registry(nodes)).await;
         let drains = self.drains.values().cloned().collect();
-        handle.event(Event::Drains(drains)).await;
+        handle.event(Event::DrainList(drains)).await;
         links.dial(&dialled);
     }
 }
 
 /// Returns the state of a VM as the VM list writes it.
-pub(crate) fn listed(word: &str) -> Listed {
+pub(crate) fn listed(word: &str) -> VmState {
     match word {
-        "leaving" => Listed::Leaving,
-        _ => Listed::Live,
+        "leaving" => VmState::Leaving,
+        _ => VmState::Live,
     }
 }
--- a/net/src/flow.rs
+++ b/net/src/flow.rs
@@ -11,12 +11,12 @@
 use http_body_util::StreamBody;
 use hyper::body::Frame;
 use hyper::body::Incoming;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::events::Event;
 use limpetferry_lib::events::Splitter;
 use limpetferry_lib::place::Place;
 use limpetferry_lib::routing::Kind;
-use limpetferry_lib::server::Outcome;
-use limpetferry_lib::wish::ServerKey;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_platform::header;
 
 use crate::attempt::Failure;
@@ -186,7 +186,7 @@
             }
             let failure = match within(self.job.left(), self.body.frame()).await {
                 None => Failure::Late,
-                Some(None) if self.splitter.is_midway() => {
+                Some(None) if self.splitter.has_partial_event() => {
                     Failure::Unknown("the stream ended within an event".to_owned())
                 }
                 Some(None) => return Ok(Next::End),
@@ -195,7 +195,7 @@
                     if let Some(bytes) = frame.data_ref() {
                         self.splitter.push(bytes);
                     }
-                    if !self.splitter.is_overlong() {
+                    if !self.splitter.exceeds_max_size() {
                         continue;
                     }
                     Failure::Unknown("an event has no end".to_owned())
@@ -295,7 +295,7 @@
                 lease.observe_end(self.events);
             }
             let server = lease.server.clone();
-            lease.end(Outcome::Answered, true);
+            lease.end(ServerOutcome::Answered, true);
             self.job
                 .gateway
                 .answered(&self.job, &server, StatusCode::OK, self.events);
--- a/net/src/keeper_list.rs
+++ b/net/src/keeper_list.rs
@@ -9,13 +9,13 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use limpetferry_lib::ask::Question;
-use limpetferry_lib::ask::Reply;
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
+use limpetferry_lib::keeper_protocol::KeeperReply;
+use limpetferry_lib::keeper_protocol::KeeperRequest;
 use limpetferry_lib::ledger::ProgramDigest;
 use limpetferry_lib::membership::ListRequest;
+use limpetferry_lib::membership::MemberState;
 use limpetferry_lib::membership::Membership;
-use limpetferry_lib::membership::Standing;
 use limpetferry_lib::time::Time;
 use limpetferry_platform::document;
 use limpetferry_platform::document::RetireState;
@@ -113,7 +113,7 @@
                 }
                 Err(error) => {
                     self.keeper
-                        .note(Note::new("list_write_failed").with("why", error));
+                        .note(LogEvent::new("list_write_failed").with("why", error));
                     let jitter = rand::random_range(0.5..1.5);
                     smol::Timer::after(wait.mul_f64(jitter)).await;
                     wait = (wait * 2).min(LONGEST_WAIT);
@@ -132,13 +132,13 @@
         let whole = self.keeper.state().whole;
         self.replicas.dial(&membership);
         let unheard = self.replicas.silent_for(CUT_OFF_AFTER);
-        let cut_off = membership.is_cut_off(&unheard, self.faults);
+        let cut_off = membership.is_isolated(&unheard, self.faults);
         self.keeper.set_cut_off(cut_off);
         if retiring {
             return self.retire(store, &membership).await;
         }
         let requests = self.keeper.requests(REQUEST_GATHER, WRITER_WAIT);
-        self.swap(store, |list| list.with(&requests, self.faults))
+        self.swap(store, |list| list.with_requests(&requests, self.faults))
             .await?;
         let node = self.keeper.node.as_str();
         let request = ListRequest::Join {
@@ -147,19 +147,19 @@
         };
         let Some(at) = membership.place(node).filter(|_| {
             let request = std::slice::from_ref(&request);
-            membership.with(request, self.faults).is_none()
+            membership.with_requests(request, self.faults).is_none()
         }) else {
             return self.request(store, &membership, request).await;
         };
         let own = &membership.keepers[at];
-        if own.standing == Standing::Leaving {
+        if own.standing == MemberState::Leaving {
             return Ok(());
         }
         if whole && (own.ready || !membership.is_changing()) {
             return self.replace_silent(store, &membership).await;
         }
         // A keeper that joins never held a program by this list.
-        let had = own.standing == Standing::Member && !whole;
+        let had = own.standing == MemberState::Member && !whole;
         if had && !self.renewed.swap(true, Ordering::Relaxed) {
             let result = self.renew(store).await;
             self.renewed
@@ -199,14 +199,14 @@
         request: ListRequest,
     ) -> Result<(), PlatformError> {
         let requests = std::slice::from_ref(&request);
-        if membership.with(requests, self.faults).is_none() {
+        if membership.with_requests(requests, self.faults).is_none() {
             return Ok(());
         }
         let writer = self.writer(membership);
         if writer.is_some_and(|writer| !self.is_own(writer) && self.ask_writer(writer, &request)) {
             return Ok(());
         }
-        self.swap(store, |list| list.with(requests, self.faults))
+        self.swap(store, |list| list.with_requests(requests, self.faults))
             .await?;
         Ok(())
     }
@@ -225,7 +225,7 @@
         let (sender, _) = async_channel::unbounded();
         let asked = self
             .replicas
-            .ask(writer, Question::List(request.clone()), &sender);
+            .ask(writer, KeeperRequest::List(request.clone()), &sender);
         *requested = asked.then(|| (request.clone(), now));
         asked
     }
@@ -239,10 +239,10 @@
         let node = self.keeper.node.as_str();
         let others = membership.keepers.iter();
         let others: Vec<Arc<str>> = others
-            .filter(|other| *other.node != *node && other.standing != Standing::Joining)
+            .filter(|other| *other.node != *node && other.standing != MemberState::Joining)
             .map(|other| other.node.clone())
             .collect();
-        let may_miss = membership.may_miss(node, had, self.faults);
+        let may_miss = membership.max_missing(node, had, self.faults);
         let mut missing = 0;
         for other in &others {
             let copied = (membership.moved, other.clone());
@@ -259,7 +259,7 @@
                 missing += 1;
                 continue;
             };
-            let note = Note::new("copied")
+            let note = LogEvent::new("copied")
                 .with("keeper", other)
                 .with("epoch", membership.epoch)
                 .with("records", records)
@@ -280,11 +280,11 @@
         let mut after: Option<Arc<str>> = None;
         let mut count = 0;
         loop {
-            let question = Question::Digests {
+            let question = KeeperRequest::Digests {
                 after: after.clone(),
                 membership: membership.clone(),
             };
-            let Some(Reply::Digests {
+            let Some(KeeperReply::Digests {
                 whole: true,
                 programs,
                 more,
@@ -318,11 +318,11 @@
         let mut count = 0;
         while !programs.is_empty() {
             let first = &programs[..programs.len().min(FETCH)];
-            let question = Question::Records {
+            let question = KeeperRequest::Records {
                 programs: first.to_vec(),
             };
             let reply = self.ask(other, question).await;
-            let Some(Reply::Records {
+            let Some(KeeperReply::Records {
                 records,
                 programs: done @ 1..,
             }) = reply
@@ -336,13 +336,13 @@
         Some(count)
     }
 
-    async fn ask(&self, other: &str, question: Question) -> Option<Reply> {
+    async fn ask(&self, other: &str, question: KeeperRequest) -> Option<KeeperReply> {
         let (sender, heard) = async_channel::unbounded();
         if !self.replicas.ask(other, question, &sender) {
             return None;
         }
         let heard = within(PULL_WAIT, heard.recv()).await?.ok()?;
-        if let Some(Reply::Stale(membership)) = heard.reply {
+        if let Some(KeeperReply::Stale(membership)) = heard.reply {
             self.keeper.site.take_keepers(membership, 0);
             return None;
         }
@@ -354,7 +354,7 @@
         self.keeper.disk.send(Job::SetWhole(sender));
         if done.recv().await.is_ok() {
             self.keeper.state().whole = true;
-            self.keeper.note(Note::new("whole"));
+            self.keeper.note(LogEvent::new("whole"));
         }
     }
 
@@ -376,20 +376,20 @@
         let silent = self.replicas.silent_for(replace_after);
         let unheard = self.replicas.silent_for(UNHEARD_AFTER);
         let lost = self.replicas.silent_for(LOST_AFTER);
-        let without_lost = |list: &Membership| list.without_lost(&lost, self.faults);
+        let without_lost = |list: &Membership| list.without_unreachable(&lost, self.faults);
         if without_lost(membership).is_some() && self.keeper.state().whole {
             self.keeper
-                .note(Note::new("keepers_lost").with("keepers", lost.join(",")));
+                .note(LogEvent::new("keepers_lost").with("keepers", lost.join(",")));
             self.swap(store, without_lost).await?;
             return Ok(());
         }
-        let Some(gone) = membership.replaceable(&silent, &unheard, self.faults) else {
+        let Some(gone) = membership.keeper_to_replace(&silent, &unheard, self.faults) else {
             return Ok(());
         };
         self.keeper
-            .note(Note::new("keeper_replaced").with("keeper", &gone.node));
+            .note(LogEvent::new("keeper_replaced").with("keeper", &gone.node));
         self.swap(store, |list| {
-            let gone = list.replaceable(&silent, &unheard, self.faults)?;
+            let gone = list.keeper_to_replace(&silent, &unheard, self.faults)?;
             list.leave(&gone.node)
         })
         .await?;
@@ -404,7 +404,7 @@
         let node = self.keeper.node.as_str();
         let listed = membership.place(node);
         if let Some(at) = listed
-            && membership.keepers[at].standing != Standing::Leaving
+            && membership.keepers[at].standing != MemberState::Leaving
         {
             self.swap(store, |list| list.leave(node)).await?;
         }
@@ -436,18 +436,18 @@
         }
         *self.reported.lock().expect("no panic while locked") = Some(state);
         self.keeper
-            .note(Note::new("retire_reported").with("state", format!("{state:?}")));
+            .note(LogEvent::new("retire_reported").with("state", format!("{state:?}")));
         Ok(())
     }
 
     /// Puts the list under a new epoch before a keeper that lost its disk
     /// copies anything. Returns whether that was done.
     async fn renew(&self, store: &mut PlatformStore) -> Result<bool, PlatformError> {
-        let done = self.swap(store, |list| Some(list.renew())).await?;
+        let done = self.swap(store, |list| Some(list.with_new_epoch())).await?;
         if done {
             let epoch = self.keeper.site.known().keepers.epoch;
             self.keeper
-                .note(Note::new("list_renewed").with("epoch", epoch));
+                .note(LogEvent::new("list_renewed").with("epoch", epoch));
         }
         Ok(done)
     }
--- a/net/src/load_reports.rs
+++ b/net/src/load_reports.rs
@@ -7,21 +7,21 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use limpetferry_lib::effect::Note;
+use limpetferry_lib::effect::LogEvent;
+use limpetferry_lib::load_estimator::LoadEstimator;
+use limpetferry_lib::load_estimator::OwnUse;
 use limpetferry_lib::load_report::GatewayState;
 use limpetferry_lib::load_report::LoadSummary;
 use limpetferry_lib::load_report::ServiceEstimate;
 use limpetferry_lib::load_report::ServiceLoads;
 use limpetferry_lib::load_report::ServiceUse;
-use limpetferry_lib::service_loads::KnownLoads;
-use limpetferry_lib::service_loads::OwnUse;
 use limpetferry_lib::time::Time;
 
 use crate::dispatch::QueueState;
 
 #[derive(Default)]
 struct Inner {
-    known: KnownLoads,
+    known: LoadEstimator,
     /// Where it takes requests from other gateways.
     address: Option<SocketAddr>,
     late: Duration,
@@ -75,8 +75,8 @@
     }
 
     /// Takes a keeper's answer to the report that went at `asked`.
-    pub fn hear(&self, keeper: &Arc<str>, asked: Time, summary: LoadSummary) {
-        self.inner().known.hear(keeper, asked, summary);
+    pub fn apply_summary(&self, keeper: &Arc<str>, asked: Time, summary: LoadSummary) {
+        self.inner().known.apply_summary(keeper, asked, summary);
     }
 
     /// Returns what the gateway has at each service that it has used.
@@ -127,11 +127,11 @@
     }
 
     /// Returns a line on each service whose load is known.
-    pub fn notes(&self, now: Time) -> Vec<Note> {
+    pub fn notes(&self, now: Time) -> Vec<LogEvent> {
         let inner = self.inner();
         let estimates = inner.known.estimates(now);
         let notes = estimates.map(|(service, estimate)| {
-            Note::new("load")
+            LogEvent::new("load")
                 .with("service", service)
                 .with("slots", estimate.slots)
                 .with("running", estimate.running.round())
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -6,10 +6,10 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
+use limpetferry_lib::criteria::IdleConnections;
+use limpetferry_lib::criteria::ServerKey;
 use limpetferry_lib::idle_limit::IdleLimit;
 use limpetferry_lib::time::Time;
-use limpetferry_lib::wish::Connected;
-use limpetferry_lib::wish::ServerKey;
 
 use crate::http::HttpError;
 use crate::http::Sender;
@@ -89,7 +89,7 @@
     longest: Duration,
 }
 
-impl Connected for Warm<'_> {
+impl IdleConnections for Warm<'_> {
     fn has(&self, server: ServerKey) -> bool {
         let last = self.idle.get(&server).and_then(|list| list.last());
         last.is_some_and(|last| last.is_usable(self.now) && last.age(self.now) <= self.longest)
@@ -160,7 +160,7 @@
 
     fn once_idle(&self, now: Time) -> Duration {
         let limit = self.limit.lock().expect("no panic while locked");
-        limit.longest(now)
+        limit.max_idle(now)
     }
 
     /// Keeps a connection for the next request.
--- a/net/src/relay.rs
+++ b/net/src/relay.rs
@@ -17,7 +17,7 @@
 use limpetferry_lib::ledger::Begin;
 use limpetferry_lib::routing::Kind;
 use limpetferry_lib::routing::Route;
-use limpetferry_lib::server::Outcome;
+use limpetferry_lib::server::ServerOutcome;
 use limpetferry_lib::time::Time;
 use limpetferry_lib::workspace::Caller;
 use limpetferry_platform::header;
@@ -165,7 +165,7 @@
     let hold = intake::make_room(gateway, &target.routing, size as usize)?;
     let served = gateway.serve(&target.route, start);
     let left = limit.since(gateway.clock.now());
-    let read = within(left, read_body(body, target.routing.limits.body)).await;
+    let read = within(left, read_body(body, target.routing.limits.max_body_bytes)).await;
     let Some(read) = read else {
         return Err(Refusal::new(
             StatusCode::REQUEST_TIMEOUT,
@@ -262,7 +262,7 @@
             } else {
                 Bytes::new()
             },
-            most: self.call.most_tokens,
+            most: self.call.max_tokens,
         };
         let turns = &self.gateway.turns;
         let asked = self.now();
@@ -281,17 +281,17 @@
                 Refusal::later(RETRY_KEEPERS, "too few keepers answer; come back")
             }
             TurnRefusal::Elsewhere => Refusal::later(
-                self.gateway.come_back(program),
+                self.gateway.retry_after(program),
                 "too few keepers are within reach here; come back",
             ),
         })?;
         self.reach(Step::Opened);
         let mut known = self.gateway.site.known();
-        known.fleet.take_places(self.now(), &open.places);
+        known.fleet.apply_places(self.now(), &open.places);
         drop(known);
         if kept {
             let moved = handoff::moved(self.body.len(), open.prompt.len());
-            self.gateway.observe_moved(moved);
+            self.gateway.observe_link_bytes(moved);
             self.body = open.prompt.clone();
         }
         Ok(Some(open))
@@ -325,22 +325,22 @@
     pub async fn collect(&self, mut started: Started) -> Result<Response<Body>, Failure> {
         let read = within(self.left(), started.body.collect()).await;
         let Some(read) = read else {
-            started.lease.end(Outcome::Abandoned, false);
+            started.lease.end(ServerOutcome::Abandoned, false);
             return Err(Failure::Late);
         };
         let body = match read {
             Ok(body) => body.to_bytes(),
             Err(error) => {
-                started.lease.end(Outcome::Broken, false);
+                started.lease.end(ServerOutcome::Broken, false);
                 return Err(Failure::Unknown(error.to_string()));
             }
         };
         started.lease.heard();
         let server = started.lease.server.clone();
         let outcome = if started.head.status.is_server_error() {
-            Outcome::Failed
+            ServerOutcome::Failed
         } else {
-            Outcome::Answered
+            ServerOutcome::Answered
         };
         if started.head.status.is_success() {
             started.lease.observe_plain();
--- a/testutils/src/bin/limpetferry-load.rs
+++ b/testutils/src/bin/limpetferry-load.rs
@@ -440,12 +440,12 @@
     use limpetferry_lib::outcome::Answer;
     use limpetferry_lib::outcome::Outcome;
     use limpetferry_lib::program::CallRequest;
-    use limpetferry_lib::program::Supply;
+    use limpetferry_lib::program::HistoryMode;
     use limpetferry_lib::program::Target;
     use limpetferry_lib::program::Urgency;
     use limpetferry_lib::rules::Rules;
-    use limpetferry_lib::shard::Assignment;
-    use limpetferry_lib::shard::Block;
+    use limpetferry_lib::shard_map::Assignment;
+    use limpetferry_lib::shard_map::Block;
     use limpetferry_lib::time::Time;
     use serde_json::json;
 
@@ -582,7 +582,7 @@
                 path: "/".into(),
             },
             idempotent: false,
-            supply: Supply::Append(None),
+            supply: HistoryMode::Append(None),
             turns: Vec::new(),
             body: Vec::new(),
             tokens: 0,
@@ -639,7 +639,7 @@
             };
             send_request(&mut bench, Request::Open(open));
         }
-        let opened = bench.entry.owner().programs_open();
+        let opened = bench.entry.owner().program_count();
         bench.spent = Duration::ZERO;
         for serial in 0..CALLS {
             let id = ids[(serial.wrapping_mul(7_919) % programs) as usize];
--- a/testutils/src/experiment.rs
+++ b/testutils/src/experiment.rs
@@ -18,10 +18,10 @@
 use limpetferry_lib::placement::ServerView;
 use limpetferry_lib::placement::Sticky;
 use limpetferry_lib::program::Urgency;
-use limpetferry_lib::queue::FirstCome;
+use limpetferry_lib::queue::Fifo;
 use limpetferry_lib::queue::LeastAttained;
-use limpetferry_lib::queue::Ordering;
 use limpetferry_lib::queue::Queue;
+use limpetferry_lib::queue::RankPolicy;
 use limpetferry_lib::queue::Waiting;
 use limpetferry_lib::speed::Speed;
 use limpetferry_lib::time::Time;
@@ -188,10 +188,10 @@
         }
     }
 
-    fn ordering(self) -> Box<dyn Ordering> {
+    fn ordering(self) -> Box<dyn RankPolicy> {
         match self {
             Self::Shipped => Box::new(LeastAttained),
-            _ => Box::new(FirstCome),
+            _ => Box::new(Fifo),
         }
     }
 }
@@ -263,9 +263,9 @@
             pieces += share * *tokens as f64;
         }
         let busy = Duration::from_micros(REPORT) * self.answers.len() as u32;
-        self.speed.note(busy, pieces as u32);
+        self.speed.record(busy, pieces as u32);
         self.pace = self.speed.pace();
-        self.speed.fade();
+        self.speed.decay();
     }
 
     fn held(&self, program: u64) -> u64 {
@@ -301,7 +301,7 @@
     programs: BTreeMap<u64, Program>,
     engines: Vec<Engine>,
     placement: Box<dyn Placement>,
-    ordering: Box<dyn Ordering>,
+    ordering: Box<dyn RankPolicy>,
     slowdowns: Vec<f64>,
     urgent: (u64, u64),
     prefilled: u64,
@@ -394,9 +394,9 @@
         let entry = (id % ENTRIES) as usize;
         let view = |(index, engine): (usize, &Engine)| ServerView {
             slots: SLOTS as u32,
-            busy: engine.sent[entry].max(engine.reported.0),
+            active_calls: engine.sent[entry].max(engine.reported.0),
             backlog: engine.backlog[entry].max(engine.reported.1),
-            cached: if program.last_engine == Some(index) {
+            cached_tokens: if program.last_engine == Some(index) {
                 program.known
             } else {
                 0
--- a/testutils/src/platform_site.rs
+++ b/testutils/src/platform_site.rs
@@ -100,7 +100,7 @@
         Self {
             proxies: false,
             switches: Switches::default(),
-            long_poll: store_watch::HOLD,
+            long_poll: store_watch::DEFAULT_HOLD,
         }
     }
 }
@@ -247,7 +247,7 @@
     /// Panics if they are not ready in time.
     pub async fn start_wired_patient(gateways: usize, keepers: usize, faults: usize) -> Self {
         let options = SiteOptions {
-            long_poll: store_watch::MOST_HOLD,
+            long_poll: store_watch::MAX_HOLD,
             ..SiteOptions::with_proxies()
         };
         Self::start_with(gateways, keepers, faults, options).await
