--- a/lib/src/turn_admission.rs
+++ b/lib/src/turn_admission.rs
@@ -30,7 +30,7 @@
     /// Whether the replica has lost nothing that it ever acknowledged.
     pub whole: bool,
     /// Tokens that the program's other turns charge to the budget.
-    pub usage: Vec<TurnUsage>,
+    pub shares: Vec<TurnUsage>,
     /// Whether the replica stores the previous turn, if the request named one.
     pub previous: Presence,
 }
@@ -158,7 +158,7 @@
             .replies
             .values()
             .filter_map(|answers| view(answers).as_ref());
-        for share in views.flat_map(|view| &view.usage) {
+        for share in views.flat_map(|view| &view.shares) {
             let known = turns.entry(&share.turn).or_insert(share);
             let has_ended = share.ended && !known.ended;
             let larger = share.ended == known.ended && share.tokens > known.tokens;
--- a/lib/tests/allowances.rs
+++ b/lib/tests/allowances.rs
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn no_window_holds_more_than_the_bounds_allow_as_gateways_and_keepers_are_lost() {
+fn bounds_hold_while_gateways_and_keepers_fail() {
     check_bounds(|world| {
         if world.rng.random_bool(0.5) {
             world.disturb_gateways();
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn what_was_sent_before_a_loss_of_everything_still_counts() {
+fn bounds_hold_after_all_processes_restart_at_once() {
     for seed in 0..20 {
         let mut world = World::new(seed, 22.0);
         let max = max_requests(&world.workspace.allowance.expect("it is limited"));
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn a_flood_is_refused_new_programs_and_those_that_began_end() {
+fn under_overload_new_programs_are_refused_and_running_ones_end() {
     for seed in 0..10 {
         let mut world = World::new(seed, 40.0);
         world.run(20, 25.0);
--- a/lib/tests/dispatch_queue.rs
+++ b/lib/tests/dispatch_queue.rs
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn the_calls_of_others_go_between_those_of_a_workspace_that_sends_a_flood() {
+fn calls_of_other_workspaces_are_served_between_those_of_a_flooding_one() {
     let mut queue = queue(1_000);
     let names = ["flood", "a", "b", "c"];
     let mut served: HashMap<&str, f64> = HashMap::new();
--- a/lib/tests/explain.rs
+++ b/lib/tests/explain.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_program_that_ran_out_of_time_names_its_slowest_step_and_its_gap() {
+fn a_slow_program_is_explained_by_its_slowest_step_and_longest_gap() {
     let text = r#"
         time=2026-10-18T10:00:01.000Z node=edge-1 event=answered attempt=a1 program=p server=i-1 read_ms=1 opened_ms=10 sent_ms=12 head_ms=700 first_ms=701 waited_ms=900
         time=2026-10-18T10:00:05.000Z node=edge-2 event=answered attempt=a2 program=p server=i-2 read_ms=0 opened_ms=20 sent_ms=22 head_ms=500 first_ms=501 waited_ms=600
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -213,7 +213,7 @@
 /// use. The new ones have nothing cached, so a long prompt costs its full prefill
 /// there, and they could stay unused.
 #[test]
-fn servers_that_join_take_work_from_those_that_are_full() {
+fn new_servers_get_work_while_the_others_are_full() {
     let mut fleet = fleet(20);
     let shared = [Part {
         id: 1,
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn a_server_that_starts_again_holds_nothing_of_what_it_had() {
+fn a_restarted_server_has_no_cache_load_or_pause() {
     let mut fleet = fleet(2);
     let parts = [Part {
         id: 1,
--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn load_is_known_a_second_after_the_keeper_in_charge_is_lost_in_a_burst() {
+fn load_is_estimated_again_a_second_after_the_loss_of_the_keeper_in_charge() {
     let lost = BURST_MS[0] + 300;
 
     let error = largest_error(27, lost + 1_000, Some(lost));
--- a/lib/tests/members.rs
+++ b/lib/tests/members.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_request_goes_to_an_owner_whose_link_came_before_its_registration() {
+fn a_request_goes_to_an_owner_linked_before_its_registration() {
     let rules = Rules::default();
     let shards = rules.shards;
     let own = NodeId::new("entry-2");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn flapping_takes_out_no_more_than_half_of_the_servers() {
+fn flapping_excludes_at_most_half_of_the_servers() {
     let mut members = linked_sides(&["tool-1", "tool-2"]);
     let in_service = |members: &Members| {
         ["tool-1", "tool-2"].map(|name| members.in_service(at(10_100), &NodeId::new(name)))
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_keeper_that_is_cut_off_takes_no_other_off() {
+fn an_isolated_keeper_removes_no_other() {
     // It reaches no other keeper. The first link was lost shortly before the
     // others, so that only that keeper has timed out.
     let list = keepers(9);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_turn_that_a_majority_has_is_denied_by_no_number_of_the_others() {
+fn a_turn_that_a_majority_has_is_never_ruled_out_by_the_others() {
     // Also with fewer keepers than programs have replicas. With a tolerance of two
     // losses, one of three keepers, which had not been sent the turn, was enough
     // to rule it out.
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_keeper_that_hears_of_too_few_others_is_not_relied_on() {
+fn a_keeper_that_reaches_too_few_others_is_not_relied_on() {
     // Its watch of the store may have been interrupted like its links.
     let three = keepers(3);
 
--- a/lib/tests/opening.rs
+++ b/lib/tests/opening.rs
@@ -33,7 +33,7 @@
     };
     ReplicaView {
         whole: true,
-        usage: others.iter().map(share).collect(),
+        shares: others.iter().map(share).collect(),
         previous: Presence::Never,
     }
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn three_turns_that_each_see_one_other_do_not_all_go() {
+fn three_turns_that_each_see_one_other_do_not_all_start() {
     // The first replica records `first` before `second`, the next one `second`
     // before `third`, the last one `third` before `first`. Each turn gets the
     // answers of two replicas.
@@ -132,8 +132,8 @@
 fn an_end_reported_by_one_replica_counts_with_the_tokens_used() {
     let mut turn = opening();
     let mut ended = view(&["other"]);
-    ended.usage[0].tokens = 0;
-    ended.usage[0].ended = true;
+    ended.shares[0].tokens = 0;
+    ended.shares[0].ended = true;
     turn.step(0, noted(&["other"]));
 
     let verdict = turn.step(1, ReplicaEvent::Noted(ended));
--- a/lib/tests/outlier.rs
+++ b/lib/tests/outlier.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_server_that_fails_at_once_draws_no_work() {
+fn a_server_that_fails_immediately_attracts_no_work() {
     let mut fleet = fleet();
 
     let counts = serve(&mut fleet, |id, _| match id {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_server_that_never_answers_draws_no_work() {
+fn a_server_that_never_answers_attracts_no_work() {
     let mut fleet = fleet();
 
     let counts = serve(&mut fleet, |id, _| match id {
--- a/lib/tests/overload.rs
+++ b/lib/tests/overload.rs
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn a_load_that_is_not_known_or_old_refuses_nobody() {
+fn no_program_is_refused_for_an_unknown_or_outdated_load() {
     let service: Arc<str> = "engines".into();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
     let now = Time::from_millis(1_100);
--- a/lib/tests/retry_hint.rs
+++ b/lib/tests/retry_hint.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_caller_without_another_gateway_outlasts_the_platforms_questions() {
+fn a_caller_without_another_gateway_outlasts_the_platforms_readiness_checks() {
     let mut hints = RetryHints::default();
     let (program, session) = session();
     hints.set_ready(Time::from_millis(0), false);
--- a/lib/tests/store_watch.rs
+++ b/lib/tests/store_watch.rs
@@ -24,7 +24,7 @@
 // Guards against calls that were lost in an outage of the store and delay
 // confirmed changes after it, so that old routes and removed servers stay in use.
 #[test]
-fn a_watch_that_an_outage_swallowed_ends_before_the_store_counts_as_calm() {
+fn a_call_lost_in_an_outage_times_out_before_the_store_is_relied_on() {
     for outage in [50, 1_000, 4_500, 9_000] {
         for sent in (0..=outage).step_by(50) {
             let limit = watch(sent, DEFAULT_HOLD).deadline();
@@ -48,7 +48,7 @@
 // Guards against a lost call that delays changes which other processes have
 // received already.
 #[test]
-fn a_watch_that_brings_less_than_others_know_ends_in_time_for_the_change() {
+fn a_call_behind_other_processes_times_out_early() {
     let mut watch = watch(0, MAX_HOLD);
     let reported = Time::from_millis(5_000);
 
--- a/lib/tests/tenants.rs
+++ b/lib/tests/tenants.rs
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn another_operator_gets_nothing_of_a_program() {
+fn another_operator_cannot_access_a_program() {
     let mut fixture = Fixture::new();
     let opened = fixture.submit(open("ours", PROGRAM, None));
     assert!(matches!(opened, Some(Reply::Program(_))), "{opened:?}");
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn another_operator_gets_no_answer_of_a_call_under_way() {
+fn another_operator_cannot_attach_to_a_running_call() {
     let mut fixture = Fixture::new();
     fixture.submit(open("ours", PROGRAM, None));
     let started = fixture.submit(call("ours"));
--- a/lib/tests/turn_world/mod.rs
+++ b/lib/tests/turn_world/mod.rs
@@ -153,7 +153,7 @@
     fn view(&self, begin: &Begin) -> ReplicaView {
         ReplicaView {
             whole: self.complete,
-            usage: self.ledger.usage(&begin.program, &begin.turn),
+            shares: self.ledger.usage(&begin.program, &begin.turn),
             previous: Presence::Never,
         }
     }
--- a/lib/tests/turns.rs
+++ b/lib/tests/turns.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn turns_that_begin_at_once_stay_within_the_budget_over_power_cuts() {
+fn simultaneous_turns_stay_within_the_budget_despite_power_cuts() {
     let counts = run(1, 3, 6_000, 150, simultaneous_starts_with_failures());
 
     assert!(counts.with_output > 2_000, "{counts:?}");
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn an_end_counts_only_where_the_beginning_is() {
+fn an_end_counts_only_where_the_start_is_stored() {
     // Guards against an end that is stored without its start. A keeper recorded
     // the start, lost it in a power cut, and restarted before the gateway noticed,
     // so that the gateway sent it only the end.
--- a/lib/tests/urgency.rs
+++ b/lib/tests/urgency.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn programs_after_a_burst_are_in_time_if_late_ones_come_last() {
+fn programs_after_a_burst_are_in_time_if_late_ones_are_served_last() {
     let (burst, after) = simulate(|left| engine_rank(0, Some(left)));
     let (burst_alike, after_alike) = simulate(|_| 0);
 
--- a/net/src/keeper_node.rs
+++ b/net/src/keeper_node.rs
@@ -349,7 +349,7 @@
         let state = self.state();
         ReplicaView {
             whole: state.whole,
-            usage: state.ledger.usage(program, turn),
+            shares: state.ledger.usage(program, turn),
             previous: previous.map_or(Presence::Never, |turn| presence(&state, turn)),
         }
     }
