--- a/lib/src/call_end.rs
+++ b/lib/src/call_end.rs
@@ -218,12 +218,12 @@
         for subscriber in &call.subscribers {
             reply(cx, subscriber, ending_reply(&call.record, &outcome, digest));
         }
-        let note = LogEvent::new("call_ended")
+        let event = LogEvent::new("call_ended")
             .with("call", id)
             .with("program", call.program)
             .with("number", call.record.number)
             .with("outcome", outcome_label(&outcome));
-        cx.log(note);
+        cx.log(event);
         let Some(program) = self.programs.get_mut(&call.program) else {
             return;
         };
--- a/lib/src/callers.rs
+++ b/lib/src/callers.rs
@@ -62,7 +62,7 @@
 }
 
 impl Callers {
-    /// Creates a front without callers.
+    /// Creates an empty set of callers.
     pub(crate) fn new(node: NodeId, boot: Boot) -> Self {
         Self {
             node,
--- a/lib/src/message.rs
+++ b/lib/src/message.rs
@@ -59,7 +59,7 @@
             Self::Call(call) => call.program,
             Self::Open(open) => open.program,
             Self::Read(request) | Self::End(request) => request.program,
-            Self::Judge(judgement) => judgement.program,
+            Self::Judge(decision) => decision.program,
         }
     }
 
@@ -72,7 +72,7 @@
             Self::Read(request) | Self::End(request) => {
                 (&request.operator, Some(&request.deployment))
             }
-            Self::Judge(judgement) => (&judgement.operator, None),
+            Self::Judge(decision) => (&decision.operator, None),
         }
     }
 }
--- a/lib/src/overload.rs
+++ b/lib/src/overload.rs
@@ -146,7 +146,7 @@
     /// When the counts were last decayed.
     decayed_at: Time,
     arrivals: Arrivals,
-    strain: Option<Congestion>,
+    congestion: Option<Congestion>,
     /// Share of new programs that is refused.
     refused_share: f64,
     overloaded: bool,
@@ -171,15 +171,17 @@
 
     /// Returns the share of their time that programs lose at the servers.
     fn lost_share(&self) -> f64 {
-        let Some(strain) = self.strain.filter(|_| self.allotted > 0.0) else {
+        let Some(congestion) = self.congestion.filter(|_| self.allotted > 0.0) else {
             return 0.0;
         };
-        strain.delay.as_secs_f64() * self.turns.max(self.programs) / self.allotted
+        congestion.delay.as_secs_f64() * self.turns.max(self.programs) / self.allotted
     }
 
     /// Returns the load; one is what the programs' time limits allow.
     fn load(&self) -> f64 {
-        let utilization = self.strain.map_or(0.0, |strain| strain.utilization);
+        let utilization = self
+            .congestion
+            .map_or(0.0, |congestion| congestion.utilization);
         if utilization < MIN_UTILIZATION {
             return utilization;
         }
@@ -204,12 +206,12 @@
         (1.0 - (begin + SMOOTHING_COUNT) / (self.offered + SMOOTHING_COUNT)).clamp(0.0, 1.0)
     }
 
-    fn observe(&mut self, now: Time, strain: Option<Congestion>) {
+    fn observe(&mut self, now: Time, congestion: Option<Congestion>) {
         self.decay(now);
         let passed = now.since(self.observed_at).min(MAX_AGE).as_secs_f64();
         self.observed_at = now;
-        self.strain = strain;
-        if strain.is_none() {
+        self.congestion = congestion;
+        if congestion.is_none() {
             self.refused_share = 0.0;
             self.overloaded = false;
             return;
@@ -254,7 +256,9 @@
     /// Returns after which time a refused caller should retry: when the service has
     /// completed its excess work.
     fn retry_after(&self, arrival: &TurnArrival<'_>, draw: f64) -> Duration {
-        let drain = self.strain.map_or(Duration::ZERO, |strain| strain.drain);
+        let drain = self
+            .congestion
+            .map_or(Duration::ZERO, |congestion| congestion.drain);
         let excess = drain
             .mul_f64(self.refused_share)
             .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
@@ -303,11 +307,11 @@
         &mut self,
         now: Time,
         service: &str,
-        strain: Option<Congestion>,
+        congestion: Option<Congestion>,
     ) -> Option<(OverloadState, bool)> {
         let state = self.services.get_mut(service)?;
         let before = state.overloaded;
-        state.observe(now, strain);
+        state.observe(now, congestion);
         let shown = OverloadState {
             overloaded: state.overloaded,
             lost_share: state.lost_share(),
--- a/lib/src/program_requests.rs
+++ b/lib/src/program_requests.rs
@@ -91,7 +91,7 @@
             Request::Open(open) => self.open(cx, shard, subscriber, &open),
             Request::Read(request) => self.read(cx, shard, subscriber, request.program),
             Request::End(request) => self.end(cx, shard, subscriber, request.program),
-            Request::Judge(judgement) => self.judge(cx, shard, subscriber, &judgement),
+            Request::Judge(decision) => self.judge(cx, shard, subscriber, &decision),
         }
     }
 
@@ -307,9 +307,9 @@
         cx: &mut Context<'_>,
         shard: ShardId,
         subscriber: Subscriber,
-        judgement: &OutcomeDecision,
+        decision: &OutcomeDecision,
     ) {
-        let Some(program) = self.programs.get_mut(&judgement.program) else {
+        let Some(program) = self.programs.get_mut(&decision.program) else {
             self.refuse_request(
                 cx,
                 Some(shard),
@@ -319,7 +319,7 @@
             return;
         };
         let unknown = CallStage::Done(Outcome::refused(Code::OutcomeUnknown));
-        let record = program.copy.record(judgement.call);
+        let record = program.copy.record(decision.call);
         let Some(record) = record.filter(|record| record.stage == unknown) else {
             let detail = "the call's outcome is not unknown";
             reply(
@@ -332,7 +332,7 @@
         let mut record = record.clone();
         // `put` drops the record of a call that did not run, so that the
         // caller may send the call again.
-        let code = if judgement.ran {
+        let code = if decision.ran {
             Code::AnswerExpired
         } else {
             Code::NoServer
@@ -345,7 +345,7 @@
             cx,
             shard,
             seq,
-            DeferredAction::Answer(subscriber, judgement.program, Part::Head),
+            DeferredAction::Answer(subscriber, decision.program, Part::Head),
         );
     }
 }
--- a/lib/src/report_schedule.rs
+++ b/lib/src/report_schedule.rs
@@ -40,11 +40,11 @@
 impl ReportSchedule {
     /// Returns whether a report is due. `busy` is whether the gateway has requests,
     /// and `reporters` the number of gateways that report.
-    pub fn is_due(&self, now: Time, duty: KeeperRole, busy: bool, reporters: u32) -> bool {
+    pub fn is_due(&self, now: Time, role: KeeperRole, busy: bool, reporters: u32) -> bool {
         let Some(last) = self.last else {
             return true;
         };
-        let min_interval = match duty {
+        let min_interval = match role {
             KeeperRole::Primary => BUSY_INTERVAL,
             KeeperRole::Standby => STANDBY_INTERVAL,
         };
--- a/lib/src/side.rs
+++ b/lib/src/side.rs
@@ -290,7 +290,7 @@
         out: &mut Vec<Effect>,
     ) {
         match message {
-            Message::Beat(beat) => self.handle_heartbeat(from, &beat, out),
+            Message::Beat(heartbeat) => self.handle_heartbeat(from, &heartbeat, out),
             Message::Document(text) => self.update_document(&text, out),
             Message::Block {
                 block,
@@ -623,7 +623,7 @@
     }
 
     fn send_heartbeat(&self, to: &NodeId, out: &mut Vec<Effect>) {
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             versions: self.documents.versions(),
             blocks: (0..self.map.blocks())
                 .map(|b| self.map.revision(b))
@@ -631,13 +631,13 @@
             load: self.load(),
             leaving: self.leaving,
         };
-        send(to, Message::Beat(beat), out);
+        send(to, Message::Beat(heartbeat), out);
     }
 
     /// Sends an entry the documents that are newer than its own, so that they
     /// also spread through side processes while the key-value service is down.
-    fn handle_heartbeat(&mut self, from: &NodeId, beat: &Heartbeat, out: &mut Vec<Effect>) {
-        for text in self.documents.newer_than(&beat.versions) {
+    fn handle_heartbeat(&mut self, from: &NodeId, heartbeat: &Heartbeat, out: &mut Vec<Effect>) {
+        for text in self.documents.newer_than(&heartbeat.versions) {
             send(from, Message::Document(text.to_owned()), out);
         }
     }
--- a/lib/src/turn_admission.rs
+++ b/lib/src/turn_admission.rs
@@ -107,10 +107,10 @@
                 ReplicaEvent::Lost => *answers = Answers::default(),
             }
         }
-        self.verdict()
+        self.next_action()
     }
 
-    fn verdict(&mut self) -> NextAction {
+    fn next_action(&mut self) -> NextAction {
         let Some(budget) = self.budget else {
             let noted = |at| self.replies[&at].noted.is_some();
             return if self.replicas.majority(noted) {
--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -154,12 +154,12 @@
         let busy = self.known.requests() > 0;
         for (number, keeper) in keepers.iter_mut().enumerate() {
             let first = number == 0 || failed_over;
-            let duty = if first {
+            let role = if first {
                 KeeperRole::Primary
             } else {
                 KeeperRole::Standby
             };
-            if !self.times[number].is_due(at(now), duty, busy, reporters) {
+            if !self.times[number].is_due(at(now), role, busy, reporters) {
                 continue;
             }
             self.times[number].record(at(now), busy);
--- a/lib/tests/overload.rs
+++ b/lib/tests/overload.rs
@@ -187,8 +187,8 @@
             let mut sum = 0.0;
             for (at, (overload, _)) in controls.iter_mut().enumerate() {
                 let all = own[at] + reported.iter().sum::<usize>() - reported[at];
-                let strain = strain(all, ends.len(), now);
-                let state = overload.observe(time, &service, Some(strain));
+                let congestion = congestion(all, ends.len(), now);
+                let state = overload.observe(time, &service, Some(congestion));
                 sum += state.map_or(1.0, |(state, _)| state.admitted);
             }
             simulation
@@ -246,7 +246,7 @@
     simulation
 }
 
-fn strain(all: usize, ended: usize, now: u64) -> Congestion {
+fn congestion(all: usize, ended: usize, now: u64) -> Congestion {
     let estimate = ServiceEstimate {
         slots: SLOTS as f64,
         running: all.min(SLOTS) as f64,
@@ -387,7 +387,7 @@
     }
     for step in 1..=10 {
         let now = at + Duration::from_millis(step * OBSERVE_INTERVAL_MS);
-        overload.observe(now, &service, Some(strain(4 * SLOTS, 400, 1_000)));
+        overload.observe(now, &service, Some(congestion(4 * SLOTS, 400, 1_000)));
     }
     (overload, shed)
 }
@@ -453,7 +453,7 @@
     let (first, second): (Arc<str>, Arc<str>) = ("first".into(), "second".into());
     let _ = overload.admit(Time::default(), &mut shed, &arrival(&first, &service), 0.0);
     let now = Time::from_millis(500);
-    overload.observe(now, &service, Some(strain(4 * SLOTS, 400, 1_000)));
+    overload.observe(now, &service, Some(congestion(4 * SLOTS, 400, 1_000)));
 
     let admitted = overload.admit(now, &mut shed, &arrival(&second, &service), 0.0);
 
@@ -522,7 +522,7 @@
         let (mut overload, mut shed) = overloaded(Time::default());
         let now = Time::from_millis(1_100);
         let service: Arc<str> = "engines".into();
-        overload.observe(now, &service, Some(strain(4 * SLOTS, ended, 1_000)));
+        overload.observe(now, &service, Some(congestion(4 * SLOTS, ended, 1_000)));
         let new: Arc<str> = "new".into();
         let tight = TurnArrival {
             remaining: Some(Duration::from_millis(remaining)),
