--- a/lib/tests/load_map.rs
+++ b/lib/tests/load_map.rs
@@ -154,12 +154,12 @@
         let busy = self.known.requests() > 0;
         for (number, keeper) in keepers.iter_mut().enumerate() {
             let first = number == 0 || failed_over;
-            let duty = if first {
+            let role = if first {
                 KeeperRole::Primary
             } else {
                 KeeperRole::Standby
             };
-            if !self.times[number].is_due(at(now), duty, busy, reporters) {
+            if !self.times[number].is_due(at(now), role, busy, reporters) {
                 continue;
             }
             self.times[number].record(at(now), busy);
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn load_is_known_a_second_after_the_keeper_in_charge_is_lost_in_a_burst() {
+fn load_is_estimated_again_a_second_after_the_loss_of_the_keeper_in_charge() {
     let lost = BURST_MS[0] + 300;
 
     let error = largest_error(27, lost + 1_000, Some(lost));
